--- a/crates/baobabctl/src/logs.rs
+++ b/crates/baobabctl/src/logs.rs
@@ -2,7 +2,7 @@
 
 use fleet::timeline::Event;
 use std::fs;
-use trail::Line;
+use trace::Line;
 
 /// Lines of one or more logs, by kind.
 #[derive(Debug, Default)]
@@ -21,7 +21,7 @@
         for text in String::from_utf8_lossy(&bytes).lines() {
             let Some(start) = text.find('{') else { continue };
             let text = &text[start..];
-            if let Some(line) = trail::parse(text) {
+            if let Some(line) = trace::parse(text) {
                 logs.lines.push(line);
             } else if let Ok(event) = serde_json::from_str(text) {
                 logs.events.push(event);
--- a/crates/baobabctl/src/trace.rs
+++ b/crates/baobabctl/src/trace.rs
@@ -1,7 +1,7 @@
 //! All that was decided about one request, over all nodes.
 
 use fleet::timeline::{Event, Kind};
-use trail::{Line, Step};
+use trace::{Line, Step};
 
 use crate::{
     End,
@@ -15,13 +15,13 @@
 pub(crate) fn run(id: &str, files: &[String], form: Form) -> Result<End, String> {
     let logs = logs::read(files)?;
     let own = |line: &&Line| line.id == id;
-    let lines = trail::causal(logs.lines.iter().filter(own).cloned().collect());
+    let lines = trace::sort_causally(logs.lines.iter().filter(own).cloned().collect());
     match form {
         Form::Json => lines.iter().for_each(print_json),
         Form::Text => {
             lines.iter().for_each(print_line);
             background(&lines, &logs).into_iter().for_each(|event| show::event(event, form));
-            say!("{}", trail::sentence(&lines));
+            say!("{}", trace::explain(&lines));
         }
     }
     Ok(if lines.is_empty() { End::No } else { End::Done })
--- a/crates/trail/src/cause.rs
+++ b/crates/trace/src/cause.rs
@@ -5,9 +5,9 @@
 /// Returns the cause of a request's end, as far as its ordered lines tell.
 ///
 /// ```
-/// assert_eq!(trail::sentence(&[]), "No line about this request was found.");
+/// assert_eq!(trace::explain(&[]), "No line about this request was found.");
 /// ```
-pub fn sentence(lines: &[Line]) -> String {
+pub fn explain(lines: &[Line]) -> String {
     let Some(last) = lines.iter().rev().find(|line| is_end(&line.step)) else {
         return match lines.first() {
             None => "No line about this request was found.".to_owned(),
--- a/crates/trail/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -7,7 +7,7 @@
 mod cause;
 mod order;
 
-pub use crate::{cause::sentence, order::causal};
+pub use crate::{cause::explain, order::sort_causally};
 
 use serde::{Deserialize, Serialize};
 
@@ -161,8 +161,8 @@
 ///
 /// ```
 /// let line = r#"{"t":1,"node":"a","id":"9c41","event":"abandoned","ms":12}"#;
-/// assert_eq!(trail::parse(line).unwrap().id, "9c41");
-/// assert!(trail::parse("not JSON").is_none());
+/// assert_eq!(trace::parse(line).unwrap().id, "9c41");
+/// assert!(trace::parse("not JSON").is_none());
 /// ```
 pub fn parse(line: &str) -> Option<Line> {
     serde_json::from_str(line).ok()
--- a/crates/trail/src/order.rs
+++ b/crates/trace/src/order.rs
@@ -12,9 +12,9 @@
 /// or have jumped in between.
 ///
 /// ```
-/// assert!(trail::causal(Vec::new()).is_empty());
+/// assert!(trace::sort_causally(Vec::new()).is_empty());
 /// ```
-pub fn causal(lines: Vec<Line>) -> Vec<Line> {
+pub fn sort_causally(lines: Vec<Line>) -> Vec<Line> {
     let mut queues = by_writer(lines);
     let mut ordered: Vec<Line> = Vec::new();
     while let Some(next) = next_node(&queues, &ordered) {
--- a/crates/trail/tests/order.rs
+++ b/crates/trace/tests/order.rs
@@ -1,6 +1,6 @@
 //! Lines of one request in causal order, whatever the clocks say.
 
-use trail::{Line, Step, causal, sentence};
+use trace::{Line, Step, explain, sort_causally};
 
 fn line(node: &str, t: u64, step: Step) -> Line {
     Line { t, node: node.to_owned(), id: "9c41".to_owned(), step }
@@ -71,7 +71,7 @@
         line("entry", 10_045, ended("not-run", "overloaded")),
     ];
     let expect = ["entry offered", "serving claimed", "entry attempted", "entry ended"];
-    assert_eq!(names(&causal(lines)), expect);
+    assert_eq!(names(&sort_causally(lines)), expect);
 }
 
 #[test]
@@ -81,7 +81,10 @@
         line("entry", 10_040, attempted(7, "not-run", "overloaded")),
         line("serving", 99_000, claimed(7, "overloaded")),
     ];
-    assert_eq!(names(&causal(lines)), ["entry offered", "serving claimed", "entry attempted"]);
+    assert_eq!(
+        names(&sort_causally(lines)),
+        ["entry offered", "serving claimed", "entry attempted"]
+    );
 }
 
 /// A call to the upstream beside its entry node reads as if it had run before it was routed: the node
@@ -94,7 +97,7 @@
         line("both", 10_040, attempted(7, "answered", "")),
     ];
     let expect = ["both offered", "both claimed", "both attempted"];
-    assert_eq!(names(&causal(lines)), expect);
+    assert_eq!(names(&sort_causally(lines)), expect);
 }
 
 #[test]
@@ -103,13 +106,13 @@
         line("serving", 1, claimed(7, "run")),
         line("entry", 2, attempted(8, "unknown", "timeout")),
     ];
-    assert_eq!(names(&causal(lines)), ["serving claimed", "entry attempted"]);
+    assert_eq!(names(&sort_causally(lines)), ["serving claimed", "entry attempted"]);
 }
 
 #[test]
 fn the_last_sentence_names_the_cause() {
     let check = |lines: Vec<Line>, expect: &str| {
-        let told = sentence(&causal(lines));
+        let told = explain(&sort_causally(lines));
         assert!(told.contains(expect), "{told}");
     };
     check(vec![line("e", 1, ended("not-run", "overloaded"))], "no slot in time");
--- a/crates/traffic/src/entry.rs
+++ b/crates/traffic/src/entry.rs
@@ -11,7 +11,7 @@
     retry,
 };
 use std::sync::Arc;
-use trail::Step;
+use trace::Step;
 
 use crate::{
     call::{Answer, Call},
--- a/crates/traffic/src/entry/attempt.rs
+++ b/crates/traffic/src/entry/attempt.rs
@@ -81,7 +81,7 @@
     let candidates = hub.view().upstreams(call.service).len();
     let step = hub.services.with(call.service, |service| {
         let record = service.record(upstream, now);
-        trail::Step::Offered {
+        trace::Step::Offered {
             attempt,
             upstream: upstream.instance.clone(),
             peer: upstream.traffic.to_string(),
@@ -109,7 +109,7 @@
     };
     call.trail.note(
         &hub.log,
-        trail::Step::Attempted {
+        trace::Step::Attempted {
             attempt,
             outcome: outcome.to_owned(),
             reason: reason.to_owned(),
--- a/crates/traffic/src/intake/caller.rs
+++ b/crates/traffic/src/intake/caller.rs
@@ -8,7 +8,7 @@
     urgency::{self, Origin},
 };
 use std::sync::Arc;
-use trail::Step;
+use trace::Step;
 
 use crate::{
     call::{Call, Payload},
--- a/crates/traffic/src/intake/open.rs
+++ b/crates/traffic/src/intake/open.rs
@@ -2,7 +2,7 @@
 
 use hyper::{Request, Response};
 use model::time::Time;
-use trail::Step;
+use trace::Step;
 
 use crate::{
     hub::Hub,
--- a/crates/traffic/src/record.rs
+++ b/crates/traffic/src/record.rs
@@ -15,7 +15,7 @@
     },
     time::{Duration, SystemTime, UNIX_EPOCH},
 };
-use trail::{Line, Step};
+use trace::{Line, Step};
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::{clock::Clock, lock::lock};
--- a/crates/traffic/src/serving.rs
+++ b/crates/traffic/src/serving.rs
@@ -114,7 +114,7 @@
     let now = hub.clock.now();
     trail.note(
         &hub.log,
-        trail::Step::Claimed {
+        trace::Step::Claimed {
             attempt: offer.id,
             upstream: offer.identity.as_deref().unwrap_or_default().to_owned(),
             decision: decision.to_owned(),
@@ -139,7 +139,7 @@
         Err(Sent::Not) => return,
     };
     let ms = span.as_millis() as u64;
-    let step = trail::Step::Ran { attempt: offer.id, outcome: outcome.to_owned(), status, ms };
+    let step = trace::Step::Ran { attempt: offer.id, outcome: outcome.to_owned(), status, ms };
     trail.note(&hub.log, step);
 }
 
