--- a/crates/baobabctl/src/check.rs
+++ b/crates/baobabctl/src/check.rs
@@ -27,7 +27,7 @@
         }
     }
     let set = Set::default().with(Delta { revision: 1, full: true, documents, ..Delta::default() });
-    if let Err(found) = config::accept(&set) {
+    if let Err(found) = config::build(&set) {
         faults.extend(found.into_iter().map(|fault| with_file(fault, &keys)));
     }
     for fault in &faults {
--- a/crates/fleet/src/fence.rs
+++ b/crates/fleet/src/fence.rs
@@ -178,7 +178,7 @@
         if self.rejected.iter().any(|r| r.version == version) {
             return Verdict::KnownBad;
         }
-        match config::accept_after(&self.snapshot, &set) {
+        match config::rebuild(&self.snapshot, &set) {
             Ok(snapshot) => {
                 self.set = set;
                 self.snapshot = Arc::new(snapshot);
--- a/crates/fleet/src/quarantine/case.rs
+++ b/crates/fleet/src/quarantine/case.rs
@@ -1,6 +1,6 @@
 //! One request under which upstreams ended.
 
-use model::{request::ANSWER_HOLDS, time::Time};
+use model::{request::EXONERATION_WINDOW, time::Time};
 use std::{collections::BTreeSet, time::Duration};
 
 use crate::quarantine::{ENDS_MOST, End};
@@ -47,7 +47,7 @@
 
     /// Tells whether an answer at `answered` clears an end at `ended`.
     fn clears(answered: Option<Time>, ended: Time) -> bool {
-        answered.is_some_and(|answered| ended < answered + ANSWER_HOLDS)
+        answered.is_some_and(|answered| ended < answered + EXONERATION_WINDOW)
     }
 
     /// Adds ends of which the last was at `ended`; returns whether that is news.
@@ -61,7 +61,7 @@
         while self.ends.len() > ENDS_KEPT {
             self.ends.pop_last();
         }
-        let is_later = before.len() == ENDS_KEPT && ended > self.ended + ANSWER_HOLDS;
+        let is_later = before.len() == ENDS_KEPT && ended > self.ended + EXONERATION_WINDOW;
         let is_news = self.ends != before || is_later;
         if is_news {
             self.ended = self.ended.max(ended);
@@ -73,7 +73,7 @@
     /// ends that it clears is kept for them: words overtake each other.
     pub(super) fn answer(&mut self, answered: Time) -> bool {
         let clears = Case::clears(Some(answered), self.ended);
-        let is_later = self.answered.is_none_or(|known| answered > known + ANSWER_HOLDS);
+        let is_later = self.answered.is_none_or(|known| answered > known + EXONERATION_WINDOW);
         let is_news = if self.ends.is_empty() { is_later } else { clears };
         if is_news {
             self.ends.clear();
--- a/crates/model/src/config.rs
+++ b/crates/model/src/config.rs
@@ -1,6 +1,6 @@
 //! A configuration version and the snapshot that is in force.
 //!
-//! Invariant *whole or nothing*: a [`Snapshot`] is built by [`accept`] from every document of a
+//! Invariant *whole or nothing*: a [`Snapshot`] is built by [`build`] from every document of a
 //! revision or not at all; no code changes one afterwards.
 
 use serde::{Deserialize, Serialize};
@@ -8,7 +8,7 @@
 
 use crate::{
     arena::{Arena, Key},
-    document::{COUNT_LIMIT, DOCUMENT_LIMIT, Document, SET_LIMIT, Set},
+    document::{Document, MAX_DOCUMENT_BYTES, MAX_DOCUMENTS, MAX_SET_BYTES, Set},
     fault::Fault,
     limits::{self, Limits},
     profile::{self, Profile},
@@ -28,7 +28,7 @@
 pub const ROUTES: &str = "routes/";
 
 /// Most faults reported for one version; more would not help an operator and would cost memory.
-const FAULT_LIMIT: usize = 32;
+const MAX_FAULTS: usize = 32;
 
 /// Name of one state of the configuration.
 #[derive(
@@ -118,19 +118,19 @@
 ///
 /// ```
 /// use model::{config, document::Set};
-/// let snapshot = config::accept(&Set::default()).unwrap();
+/// let snapshot = config::build(&Set::default()).unwrap();
 /// assert_eq!(snapshot.services().count(), 0);
 /// ```
-pub fn accept(set: &Set) -> Result<Snapshot, Vec<Fault>> {
-    accept_after(&Snapshot::default(), set)
+pub fn build(set: &Set) -> Result<Snapshot, Vec<Fault>> {
+    rebuild(&Snapshot::default(), set)
 }
 
-/// Builds the snapshot of `set` like [`accept`], without reading route documents again that
+/// Builds the snapshot of `set` like [`build`], without reading route documents again that
 /// `former` was built from as well.
 ///
 /// A configuration of 2,000 routes takes a slow core a tenth of a second to read whole, in which it
 /// carries no calls; versions may come several times a second and change a few routes each.
-pub fn accept_after(former: &Snapshot, set: &Set) -> Result<Snapshot, Vec<Fault>> {
+pub fn rebuild(former: &Snapshot, set: &Set) -> Result<Snapshot, Vec<Fault>> {
     let mut faults = check_sizes(set);
     if !faults.is_empty() {
         return Err(faults);
@@ -152,20 +152,24 @@
     if faults.is_empty() {
         return Ok(snapshot);
     }
-    faults.truncate(FAULT_LIMIT);
+    faults.truncate(MAX_FAULTS);
     Err(faults)
 }
 
 fn check_sizes(set: &Set) -> Vec<Fault> {
     let mut faults = Vec::new();
-    if set.iter().count() > COUNT_LIMIT {
-        faults.push(Fault::new("", "", format!("more than {COUNT_LIMIT} documents")));
+    if set.iter().count() > MAX_DOCUMENTS {
+        faults.push(Fault::new("", "", format!("more than {MAX_DOCUMENTS} documents")));
     }
-    if set.bytes() > SET_LIMIT {
-        faults.push(Fault::new("", "", format!("all documents together exceed {SET_LIMIT} bytes")));
+    if set.bytes() > MAX_SET_BYTES {
+        faults.push(Fault::new(
+            "",
+            "",
+            format!("all documents together exceed {MAX_SET_BYTES} bytes"),
+        ));
     }
-    for document in set.iter().filter(|d| d.text.len() > DOCUMENT_LIMIT) {
-        faults.push(Fault::new(&document.key, "", format!("exceeds {DOCUMENT_LIMIT} bytes")));
+    for document in set.iter().filter(|d| d.text.len() > MAX_DOCUMENT_BYTES) {
+        faults.push(Fault::new(&document.key, "", format!("exceeds {MAX_DOCUMENT_BYTES} bytes")));
     }
     faults
 }
@@ -220,9 +224,9 @@
         let read = Read { text: document.text.clone(), draft: draft.clone() };
         snapshot.drafts.insert(document.key.clone(), read);
         let targets = find_targets(&draft.shares, document, snapshot, faults);
-        let route = Route { name: name.to_owned(), terms: draft.terms.clone(), targets };
+        let route = Route { name: name.to_owned(), spec: draft.spec.clone(), targets };
         let key = snapshot.routes.insert(route);
-        let (host, prefix) = (&draft.terms.host, &draft.terms.prefix);
+        let (host, prefix) = (&draft.spec.host, &draft.spec.prefix);
         if snapshot.table.insert(host, prefix, key).is_some() {
             // Two routes for the same calls: which of them holds would depend on their order.
             let reason = format!("another route of this host has the prefix \"{prefix}\"");
--- a/crates/model/src/document.rs
+++ b/crates/model/src/document.rs
@@ -12,17 +12,17 @@
 use crate::config::Version;
 
 /// Largest document, in bytes; the platform holds no larger value.
-pub const DOCUMENT_LIMIT: usize = 1 << 20;
+pub const MAX_DOCUMENT_BYTES: usize = 1 << 20;
 
 /// Largest sum of all documents, in bytes; keeps a node's control memory within its bound while
 /// the old set, the new set and a message that carries it exist at once.
-pub const SET_LIMIT: usize = 4 << 20;
+pub const MAX_SET_BYTES: usize = 4 << 20;
 
 /// Smallest mean size, in bytes, of what the platform holds for one document.
 ///
 /// A route that names only what it must takes some 90 bytes there. Services may take less, but each
 /// has an upstream with a node beside it, so there are a few hundred of them at most.
-const DOCUMENT_LEAST: usize = 64;
+const MIN_DOCUMENT_BYTES: usize = 64;
 
 /// Most documents in one revision: as many as the platform's largest value can hold. With routes
 /// alone it holds 11,000 to 12,000.
@@ -31,7 +31,7 @@
 /// bound may not lie lower. It may not lie much higher either: a route costs some 1.6 KB of
 /// memory while its version and the one before it are held, of which the bound on the sum of texts
 /// counts only a tenth.
-pub const COUNT_LIMIT: usize = DOCUMENT_LIMIT / DOCUMENT_LEAST;
+pub const MAX_DOCUMENTS: usize = MAX_DOCUMENT_BYTES / MIN_DOCUMENT_BYTES;
 
 /// Number of groups into which documents are divided by their keys to find differences.
 ///
@@ -40,7 +40,7 @@
 pub const BUCKETS: usize = 64;
 
 /// Most removals that a set remembers for deltas.
-const REMOVED_LIMIT: usize = 256;
+const MAX_REMOVALS: usize = 256;
 
 /// The first 16 bytes of a SHA-256 hash; equal digests mean equal documents.
 #[derive(Clone, Copy, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
@@ -140,7 +140,7 @@
 
 /// As much of a delta as was asked for.
 #[derive(Clone, Debug, Default)]
-pub struct Piece {
+pub struct Chunk {
     /// What it changes.
     pub delta: Delta,
     /// Whether the receiver lacks more than this.
@@ -249,7 +249,7 @@
 
     /// Returns the first of the buckets whose digests differ from `theirs`, whole: one at least, and
     /// as many as hold no more than `limit` bytes.
-    pub fn differing_within(&self, theirs: &[u64], limit: usize) -> Piece {
+    pub fn differing_within(&self, theirs: &[u64], limit: usize) -> Chunk {
         let own = self.buckets();
         let mut sizes = [0; BUCKETS];
         for document in self.documents.values() {
@@ -270,18 +270,18 @@
         let within = |d: &&Document| buckets.contains(&bucket_of(&d.key));
         let documents = self.documents.values().filter(within).cloned().collect();
         let delta = Delta { revision: self.revision, documents, buckets, ..Delta::default() };
-        Piece { delta, more }
+        Chunk { delta, more }
     }
 
     /// Returns what a holder of revision `have` lacks, or nothing of it if that is more than `limit`
     /// bytes: then it is to be asked for by buckets.
-    pub fn since_within(&self, have: Option<u64>, limit: usize) -> Piece {
+    pub fn since_within(&self, have: Option<u64>, limit: usize) -> Chunk {
         let delta = self.since(have);
         let size: usize = delta.documents.iter().map(Document::size).sum();
         if size <= limit {
-            return Piece { delta, more: false };
+            return Chunk { delta, more: false };
         }
-        Piece { delta: Delta { revision: self.revision, ..Delta::default() }, more: true }
+        Chunk { delta: Delta { revision: self.revision, ..Delta::default() }, more: true }
     }
 
     /// Collects the removals that `next` should remember: those told and those seen.
@@ -295,7 +295,7 @@
             }
         }
         removed.retain(|r| !next.documents.contains_key(&r.key));
-        let surplus = removed.len().saturating_sub(REMOVED_LIMIT);
+        let surplus = removed.len().saturating_sub(MAX_REMOVALS);
         removed.drain(..surplus);
         removed
     }
--- a/crates/model/src/strict.rs
+++ b/crates/model/src/json.rs
@@ -17,7 +17,7 @@
 /// pointer and carries line and column in its reason.
 ///
 /// ```
-/// let fault = model::strict::parse("services/x", r#"{"profile": "a", "profile": "b"}"#).unwrap_err();
+/// let fault = model::json::parse("services/x", r#"{"profile": "a", "profile": "b"}"#).unwrap_err();
 /// assert_eq!(fault.pointer, "/profile");
 /// ```
 pub fn parse(document: &str, text: &str) -> Result<Value, Fault> {
@@ -32,7 +32,7 @@
 }
 
 /// Appends `segment` to a JSON pointer, escaped as RFC 6901 asks.
-pub fn join(pointer: &str, segment: &str) -> String {
+pub fn join_pointer(pointer: &str, segment: &str) -> String {
     format!("{pointer}/{}", segment.replace('~', "~0").replace('/', "~1"))
 }
 
@@ -49,8 +49,8 @@
     fn pointer(&self) -> String {
         match self {
             Place::Top => String::new(),
-            Place::Field(above, name) => join(&above.pointer(), name),
-            Place::Item(above, index) => join(&above.pointer(), &index.to_string()),
+            Place::Field(above, name) => join_pointer(&above.pointer(), name),
+            Place::Item(above, index) => join_pointer(&above.pointer(), &index.to_string()),
         }
     }
 }
--- a/crates/model/src/limits.rs
+++ b/crates/model/src/limits.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use std::ops::RangeInclusive;
 
-use crate::{fault::Fault, read::Object, strict};
+use crate::{fault::Fault, json, read::Object};
 
 /// Key of the document that holds the limits.
 pub const KEY: &str = "limits";
@@ -50,7 +50,7 @@
 /// ```
 pub fn read(document: &str, text: &str, faults: &mut Vec<Fault>) -> Limits {
     let usual = Limits::default();
-    let value = match strict::parse(document, text) {
+    let value = match json::parse(document, text) {
         Ok(value) => value,
         Err(fault) => {
             faults.push(fault);
--- a/crates/model/src/profile.rs
+++ b/crates/model/src/profile.rs
@@ -5,10 +5,10 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{fault::Fault, read::Object, strict};
+use crate::{fault::Fault, json, read::Object};
 
 /// Most routes in one profile.
-pub const ROUTE_LIMIT: usize = 64;
+pub const MAX_ROUTES: usize = 64;
 
 /// A number that a profile can set.
 #[derive(Clone, Copy, Debug)]
@@ -219,7 +219,7 @@
 ///
 /// The result is meaningful only when no fault was added.
 pub fn read(document: &str, name: &str, text: &str, faults: &mut Vec<Fault>) -> Profile {
-    let value = match strict::parse(document, text) {
+    let value = match json::parse(document, text) {
         Ok(value) => value,
         Err(fault) => {
             faults.push(fault);
@@ -258,7 +258,7 @@
     let spill = object.flag("spill", true);
     let idempotent_methods =
         object.texts("idempotent_methods", METHOD_SHAPE, is_method, &["GET", "HEAD"]);
-    let routes = object.objects("routes", ROUTE_LIMIT, read_route);
+    let routes = object.objects("routes", MAX_ROUTES, read_route);
     Profile {
         name,
         deadline_ms,
--- a/crates/model/src/read.rs
+++ b/crates/model/src/read.rs
@@ -8,10 +8,10 @@
 use serde_json::{Map, Value};
 use std::ops::RangeInclusive;
 
-use crate::{fault::Fault, strict};
+use crate::{fault::Fault, json};
 
 /// The longest name of a profile, service, data centre or region, in bytes.
-pub const NAME_LIMIT: usize = 63;
+pub const MAX_NAME_BYTES: usize = 63;
 
 /// An object being read; fields are removed as they are taken.
 pub struct Object<'a> {
@@ -123,10 +123,10 @@
             self.fault(name, format!("holds {} items, more than {limit}", items.len()));
             return Vec::new();
         }
-        let base = strict::join(&self.pointer, name);
+        let base = json::join_pointer(&self.pointer, name);
         let mut values = Vec::new();
         for (i, item) in items.into_iter().enumerate() {
-            let pointer = strict::join(&base, &i.to_string());
+            let pointer = json::join_pointer(&base, &i.to_string());
             let mut object = Object::new(self.document, &pointer, item, self.faults);
             values.push(each(&mut object));
             object.finish();
@@ -138,7 +138,7 @@
     /// required fields are reported one by one.
     pub fn object<T>(&mut self, name: &str, each: impl FnOnce(&mut Object<'_>) -> T) -> T {
         let value = self.fields.remove(name).unwrap_or_else(|| Value::Object(Map::new()));
-        let pointer = strict::join(&self.pointer, name);
+        let pointer = json::join_pointer(&self.pointer, name);
         let mut object = Object::new(self.document, &pointer, value, self.faults);
         let result = each(&mut object);
         object.finish();
@@ -159,7 +159,7 @@
     /// Reports every field that was not taken.
     pub fn finish(&mut self) {
         for name in std::mem::take(&mut self.fields).keys() {
-            let pointer = strict::join(&self.pointer, name);
+            let pointer = json::join_pointer(&self.pointer, name);
             self.faults.push(Fault::new(self.document, pointer, "is not a known field"));
         }
     }
@@ -183,7 +183,7 @@
 /// ```
 pub fn is_name(text: &str) -> bool {
     let allowed = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-';
-    !text.is_empty() && text.len() <= NAME_LIMIT && text.bytes().all(allowed)
+    !text.is_empty() && text.len() <= MAX_NAME_BYTES && text.bytes().all(allowed)
 }
 
 fn kind(value: &Value) -> &'static str {
--- a/crates/model/src/request.rs
+++ b/crates/model/src/request.rs
@@ -5,7 +5,7 @@
 
 /// How long before the end of an upstream an answer to a request shows that the request did not cause it: longer
 /// than a call lasts.
-pub const ANSWER_HOLDS: Duration = Duration::from_secs(10);
+pub const EXONERATION_WINDOW: Duration = Duration::from_secs(10);
 
 /// Identifies what a request asks for.
 #[derive(
--- a/crates/model/src/route.rs
+++ b/crates/model/src/route.rs
@@ -10,17 +10,17 @@
 use crate::{
     arena::Key,
     fault::Fault,
+    json,
     read::{Object, is_name},
     service::Service,
-    strict,
 };
 
 /// Most services that one route is split over; far above the number of services of a fleet. Each
 /// call goes through all weights of its route.
-pub const TARGET_LIMIT: usize = 256;
+pub const MAX_TARGETS: usize = 256;
 
 /// Largest weight of one target.
-pub const WEIGHT_LIMIT: u64 = 1_000_000;
+pub const MAX_WEIGHT: u64 = 1_000_000;
 
 /// Ranks of calls; 0 is the most urgent.
 pub const PRIORITIES: RangeInclusive<u64> = 0..=15;
@@ -66,7 +66,7 @@
 
 /// What holds for the calls of one route, whichever service they go to.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Terms {
+pub struct Spec {
     /// The part of the `Host` header before the port, in lower case.
     pub host: String,
     /// Beginning of the path, from slash to slash.
@@ -89,7 +89,7 @@
     /// Name of its document.
     pub name: String,
     /// What holds for its calls; shared with the draft that it was read into.
-    pub terms: Arc<Terms>,
+    pub spec: Arc<Spec>,
     /// Services it leads to; at least one has a weight.
     pub targets: Vec<Target>,
 }
@@ -98,7 +98,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Draft {
     /// What holds for its calls.
-    pub terms: Arc<Terms>,
+    pub spec: Arc<Spec>,
     /// Services by name.
     pub shares: Vec<Share>,
 }
@@ -114,7 +114,7 @@
 /// assert_eq!(draft.shares[0].weight, 1);
 /// ```
 pub fn read(document: &str, text: &str, faults: &mut Vec<Fault>) -> Option<Draft> {
-    let value = match strict::parse(document, text) {
+    let value = match json::parse(document, text) {
         Ok(value) => value,
         Err(fault) => {
             faults.push(fault);
@@ -134,7 +134,7 @@
 fn read_object(object: &mut Object<'_>) -> Draft {
     let timeout_ms = object.number("timeout_ms", TIMES_MS, 2_000);
     Draft {
-        terms: Arc::new(Terms {
+        spec: Arc::new(Spec {
             host: object.text("host", "a host name in lower case without port", is_host),
             prefix: object.text("prefix", "a path that begins and ends with /", is_prefix),
             kind: read_kind(object),
@@ -143,7 +143,7 @@
             objective_ms: object.number("objective_ms", TIMES_MS, timeout_ms),
             priority: object.number("priority", PRIORITIES, 0) as u8,
         }),
-        shares: object.objects("targets", TARGET_LIMIT, read_share),
+        shares: object.objects("targets", MAX_TARGETS, read_share),
     }
 }
 
@@ -157,7 +157,7 @@
 fn read_share(object: &mut Object<'_>) -> Share {
     Share {
         service: object.text("service", "a name (1 to 63 of a-z, 0-9 and -)", is_name),
-        weight: object.number("weight", 0..=WEIGHT_LIMIT, 1) as u32,
+        weight: object.number("weight", 0..=MAX_WEIGHT, 1) as u32,
     }
 }
 
--- a/crates/model/src/service.rs
+++ b/crates/model/src/service.rs
@@ -2,10 +2,10 @@
 
 use std::{ops::RangeInclusive, time::Duration};
 
-use crate::{arena::Key, fault::Fault, profile::Profile, read::Object, strict};
+use crate::{arena::Key, fault::Fault, json, profile::Profile, read::Object};
 
 /// Bounds between which the calls per minute that a cold upstream bears may lie.
-pub const COLD_CALLS: RangeInclusive<u64> = 1..=60_000_000;
+pub const COLD_CALLS_PER_MIN: RangeInclusive<u64> = 1..=60_000_000;
 
 /// Bounds between which the time for which an upstream is cold may lie, in ms.
 pub const COLD_MS: RangeInclusive<u64> = 0..=3_600_000;
@@ -63,7 +63,7 @@
 /// assert_eq!(draft.warm_up.map(|w| w.calls_per_min), Some(600));
 /// ```
 pub fn read(document: &str, text: &str, faults: &mut Vec<Fault>) -> Draft {
-    let value = match strict::parse(document, text) {
+    let value = match json::parse(document, text) {
         Ok(value) => value,
         Err(fault) => {
             faults.push(fault);
@@ -81,7 +81,11 @@
         return None;
     }
     Some(object.object("warm_up", |fields| WarmUp {
-        calls_per_min: fields.number("calls_per_min", COLD_CALLS, *COLD_CALLS.end()),
+        calls_per_min: fields.number(
+            "calls_per_min",
+            COLD_CALLS_PER_MIN,
+            *COLD_CALLS_PER_MIN.end(),
+        ),
         length: Duration::from_millis(fields.number("length_ms", COLD_MS, 0)),
     }))
 }
--- a/crates/model/tests/routes.rs
+++ b/crates/model/tests/routes.rs
@@ -1,7 +1,7 @@
 //! Which route a call takes, compared with looking at every prefix in turn.
 
 use model::{
-    config::accept,
+    config::build,
     document::{Delta, Document, Set},
 };
 use quickcheck::{Arbitrary, Gen, QuickCheck};
@@ -79,13 +79,13 @@
     fn property(places: Vec<Place>, calls: Vec<Call>) -> bool {
         let distinct: BTreeSet<Place> = places.into_iter().collect();
         let places: Vec<Place> = distinct.into_iter().collect();
-        let snapshot = accept(&set(&places)).expect("no two routes are for the same calls");
+        let snapshot = build(&set(&places)).expect("no two routes are for the same calls");
         calls.iter().all(|call| {
             let begins = |p: &&Place| p.host == call.host && call.path.starts_with(&p.prefix);
             let expect = places.iter().filter(begins).max_by_key(|place| place.prefix.len());
             let found = snapshot.route(call.host, &call.path);
-            found.map(|route| &route.terms.prefix) == expect.map(|place| &place.prefix)
-                && found.is_none_or(|route| route.terms.host == call.host)
+            found.map(|route| &route.spec.prefix) == expect.map(|place| &place.prefix)
+                && found.is_none_or(|route| route.spec.host == call.host)
         })
     }
     QuickCheck::new()
@@ -101,7 +101,7 @@
         let second = |&i: &usize| places[..i].contains(&places[i]);
         let expect: Vec<String> =
             (0..places.len()).filter(second).map(|i| format!("routes/r-{i:03}")).take(32).collect();
-        let faults = accept(&set(&places)).err().unwrap_or_default();
+        let faults = build(&set(&places)).err().unwrap_or_default();
         let found: Vec<String> = faults.iter().map(|fault| fault.document.clone()).collect();
         found == expect && faults.iter().all(|fault| fault.pointer == "/prefix")
     }
--- a/crates/model/tests/accept.rs
+++ b/crates/model/tests/validation.rs
@@ -1,8 +1,8 @@
 //! What documents are accepted, and how faults are told.
 
 use model::{
-    config::accept,
-    document::{Delta, Document, SET_LIMIT, Set},
+    config::build,
+    document::{Delta, Document, MAX_SET_BYTES, Set},
 };
 use quickcheck::{Gen, QuickCheck};
 
@@ -17,7 +17,7 @@
 /// Compares the faults, each as "document pointer", in order.
 #[track_caller]
 fn check(documents: &[(&str, &str)], expect: &[&str]) {
-    let faults = accept(&set(documents)).err().unwrap_or_default();
+    let faults = build(&set(documents)).err().unwrap_or_default();
     let places: Vec<String> =
         faults.iter().map(|f| format!("{} {}", f.document, f.pointer)).collect();
     assert_eq!(places, expect, "{faults:?}");
@@ -87,8 +87,9 @@
     let large = format!("{{}}{}", " ".repeat(1 << 20));
     check(&[("profiles/a", &large)], &["profiles/a "]);
     let half = format!("{{}}{}", " ".repeat(900_000));
-    let many: Vec<(String, &str)> =
-        (0..SET_LIMIT / 900_000 + 1).map(|i| (format!("profiles/p{i}"), half.as_str())).collect();
+    let many: Vec<(String, &str)> = (0..MAX_SET_BYTES / 900_000 + 1)
+        .map(|i| (format!("profiles/p{i}"), half.as_str()))
+        .collect();
     let many: Vec<(&str, &str)> = many.iter().map(|(key, text)| (key.as_str(), *text)).collect();
     check(&many, &[" "]);
 }
@@ -123,7 +124,7 @@
 fn no_text_stops_the_process() {
     fn property(text: String, key: String) -> bool {
         let key = format!("profiles/{key}");
-        let verdict = accept(&set(&[(&key, &text)]));
+        let verdict = build(&set(&[(&key, &text)]));
         verdict.is_ok() || verdict.is_err_and(|faults| !faults.is_empty())
     }
     QuickCheck::new()
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -2,7 +2,7 @@
 
 mod fields;
 
-use model::{fault::Fault, read::Object, strict};
+use model::{fault::Fault, json, read::Object};
 use policy::{budget, share::Room, warmup::Excess};
 use std::{net::SocketAddr, time::Duration};
 use traffic::wire::{HeaderName, Names, Precision};
@@ -165,7 +165,7 @@
 /// assert!(faults.iter().any(|f| f.pointer == "/instance"));
 /// ```
 pub fn read(file: &str, text: &str) -> Result<Settings, Vec<Fault>> {
-    let value = strict::parse(file, text).map_err(|fault| vec![fault])?;
+    let value = json::parse(file, text).map_err(|fault| vec![fault])?;
     read_value(file, value)
 }
 
--- a/crates/policy/src/suspects.rs
+++ b/crates/policy/src/suspects.rs
@@ -4,7 +4,7 @@
 //! A call that breaks alone is a lost connection or a spoiled answer, and the upstream answers others.
 
 use model::{
-    request::{ANSWER_HOLDS, Fingerprint, Suspect},
+    request::{EXONERATION_WINDOW, Fingerprint, Suspect},
     time::Time,
 };
 use std::{
@@ -47,7 +47,7 @@
         self.answers.insert(request, now);
         self.order.push_back((now, request));
         while let Some((at, oldest)) = self.order.front().copied() {
-            if now.since(at) < ANSWER_HOLDS && self.order.len() <= ANSWERS_MOST {
+            if now.since(at) < EXONERATION_WINDOW && self.order.len() <= ANSWERS_MOST {
                 break;
             }
             self.order.pop_front();
@@ -69,7 +69,7 @@
 
     /// Tells whether the upstream answered a call like `request` lately.
     pub fn was_answered(&self, request: Fingerprint, now: Time) -> bool {
-        self.answers.get(&request).is_some_and(|at| now.since(*at) < ANSWER_HOLDS)
+        self.answers.get(&request).is_some_and(|at| now.since(*at) < EXONERATION_WINDOW)
     }
 
     /// Tells whether the upstream answered anything after `since`.
--- a/crates/source/src/lib.rs
+++ b/crates/source/src/lib.rs
@@ -17,7 +17,7 @@
     source::{Answer, Bulletin, Failure, Listing, Query, Topic},
 };
 use model::{
-    document::{COUNT_LIMIT, DOCUMENT_LIMIT, Delta, SET_LIMIT},
+    document::{Delta, MAX_DOCUMENT_BYTES, MAX_DOCUMENTS, MAX_SET_BYTES},
     fault::Fault,
 };
 use serde::de::DeserializeOwned;
@@ -28,7 +28,7 @@
 pub const REVISION_HEADER: &str = "platform-revision";
 
 /// Largest answer that is read, in bytes; JSON escapes can double a text.
-const ANSWER_LIMIT: u64 = 3 * SET_LIMIT as u64;
+const ANSWER_LIMIT: u64 = 3 * MAX_SET_BYTES as u64;
 
 /// Time for connecting, and for the answer beyond the time that the platform may hold a call.
 const PATIENCE: Duration = Duration::from_secs(2);
@@ -180,13 +180,13 @@
 
 /// Refuses what no platform that keeps its word would serve, before memory is spent on it.
 fn check_delta(delta: Delta) -> Result<Delta, Error> {
-    let large = delta.documents.iter().find(|d| d.text.len() > DOCUMENT_LIMIT);
+    let large = delta.documents.iter().find(|d| d.text.len() > MAX_DOCUMENT_BYTES);
     if let Some(document) = large {
-        let reason = format!("{} exceeds {DOCUMENT_LIMIT} bytes", document.key);
+        let reason = format!("{} exceeds {MAX_DOCUMENT_BYTES} bytes", document.key);
         return ContentSnafu { reason }.fail();
     }
-    if delta.documents.len() > COUNT_LIMIT {
-        return ContentSnafu { reason: format!("more than {COUNT_LIMIT} documents") }.fail();
+    if delta.documents.len() > MAX_DOCUMENTS {
+        return ContentSnafu { reason: format!("more than {MAX_DOCUMENTS} documents") }.fail();
     }
     if let Some(document) = delta.documents.iter().find(|d| d.modified > delta.revision) {
         let reason = format!("{} is newer than the revision that holds it", document.key);
--- a/crates/standins/src/memory.rs
+++ b/crates/standins/src/memory.rs
@@ -361,7 +361,7 @@
 
     /// Returns the newest revision that is acceptable, 0 if there is none.
     pub fn newest_good(&self) -> u64 {
-        let good = |(_, set): &(&u64, &Set)| config::accept(set).is_ok();
+        let good = |(_, set): &(&u64, &Set)| config::build(set).is_ok();
         self.history.iter().rev().find(good).map_or(0, |(&revision, _)| revision)
     }
 
--- a/crates/standins/src/memory/delivery.rs
+++ b/crates/standins/src/memory/delivery.rs
@@ -220,7 +220,7 @@
             Some(set) if set.version() != new => {
                 self.broken.push(format!("node {node} took {new}, which is only part of it"));
             }
-            Some(set) if config::accept(set).is_err() => {
+            Some(set) if config::build(set).is_err() => {
                 self.broken.push(format!("node {node} took {new}, which is not acceptable"));
             }
             Some(_) => {}
--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -5,7 +5,7 @@
     evacuation::Order,
     source::{Bulletin, Instance, Listing},
 };
-use model::document::{DOCUMENT_LIMIT, Delta, Document, Set};
+use model::document::{Delta, Document, MAX_DOCUMENT_BYTES, Set};
 use std::{
     collections::{BTreeMap, HashSet, VecDeque},
     io,
@@ -155,7 +155,7 @@
         for (key, text) in documents {
             match text {
                 Some(text) => {
-                    assert!(text.len() <= DOCUMENT_LIMIT, "the platform holds no such value");
+                    assert!(text.len() <= MAX_DOCUMENT_BYTES, "the platform holds no such value");
                     let key = (*key).to_owned();
                     delta.documents.push(Document {
                         key,
--- a/crates/traffic/src/routing/target.rs
+++ b/crates/traffic/src/routing/target.rs
@@ -71,7 +71,7 @@
 /// Tells whether a request may run more than once, as far as routes say.
 pub(crate) fn may_repeat(config: &Snapshot, request: &Request<Inflow>) -> bool {
     let route = config.route(&wire::host(request.headers()), request.uri().path());
-    route.is_some_and(|route| route.terms.kind == route::Kind::Idempotent)
+    route.is_some_and(|route| route.spec.kind == route::Kind::Idempotent)
 }
 
 fn find_route<'a>(
@@ -83,13 +83,13 @@
     let weights: Vec<u32> = route.targets.iter().map(|t| t.weight).collect();
     let part = hub.next_part(&route.name, &weights)?;
     let service = config.target(route.targets[part].service);
-    let idempotent = route.terms.kind == route::Kind::Idempotent;
+    let idempotent = route.spec.kind == route::Kind::Idempotent;
     let terms = Terms {
         kind: if idempotent { Kind::Idempotent } else { Kind::Once },
-        timeout_ms: route.terms.timeout_ms,
-        attempts: route.terms.attempts,
-        objective_ms: Some(route.terms.objective_ms),
-        priority: route.terms.priority,
+        timeout_ms: route.spec.timeout_ms,
+        attempts: route.spec.attempts,
+        objective_ms: Some(route.spec.objective_ms),
+        priority: route.spec.priority,
         route: route.name.clone(),
     };
     Some(Target {
--- a/crates/traffic/tests/rig/mod.rs
+++ b/crates/traffic/tests/rig/mod.rs
@@ -8,7 +8,7 @@
     view::View,
 };
 use model::{
-    config::accept,
+    config::build,
     document::{Delta, Document, Set},
 };
 use standins::{
@@ -99,7 +99,7 @@
             document("services/paydesk", r#"{"profile": "p"}"#),
         ];
         let delta = Delta { revision: 1, full: true, documents, ..Delta::default() };
-        let snapshot = Arc::new(accept(&Set::default().with(delta)).expect("the profile is good"));
+        let snapshot = Arc::new(build(&Set::default().with(delta)).expect("the profile is good"));
         for hub in self.hubs() {
             hub.set_config(snapshot.clone());
         }
--- a/crates/traffic/tests/scene/mod.rs
+++ b/crates/traffic/tests/scene/mod.rs
@@ -9,7 +9,7 @@
     view::{Upstream as Listed, View},
 };
 use model::{
-    config::accept,
+    config::build,
     document::{Delta, Document, Set},
     time::Time,
 };
@@ -450,7 +450,7 @@
     ];
     documents.extend(ROUTES.map(document));
     let delta = Delta { revision: 1, full: true, documents, ..Delta::default() };
-    Arc::new(accept(&Set::default().with(delta)).expect("the routes are good"))
+    Arc::new(build(&Set::default().with(delta)).expect("the routes are good"))
 }
 
 fn read_head(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<String> {
