--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -101,7 +101,7 @@
 }
 
 impl peer::Handler for Link {
-    fn ask(&self, request: Request) -> Reply<Response> {
+    fn handle(&self, request: Request) -> Reply<Response> {
         Link::ask(self, |reply| Message::Ask(request, reply))
     }
 
@@ -174,7 +174,7 @@
 fn start_listener(socket: Arc<Socket>, link: Link) -> io::Result<()> {
     let work = move || {
         while link.is_open() {
-            match socket.hear() {
+            match socket.receive() {
                 Ok(digest) => link.send(Event::Heard(digest)),
                 Err(datagram::Error::Malformed { from, source }) => {
                     let reason = source.to_string();
@@ -292,7 +292,7 @@
             self.parts.meter.message("digest");
         }
         // A summary that could not be sent is as good as lost; the next one follows soon.
-        let _unsent = socket.tell(targets, digest);
+        let _unsent = socket.send(targets, digest);
     }
 
     fn send(&self, peer: SocketAddr, request: Request, timeout: Duration) {
@@ -306,13 +306,13 @@
         let link = self.link.clone();
         let meter = self.parts.meter.clone();
         self.parts.peers.spawn(async move {
-            let event = match peer::ask(peer, &request, timeout).await {
+            let event = match peer::send(peer, &request, timeout).await {
                 Ok(response) => Event::Answered(peer, response),
                 Err(error) => {
                     meter.lost(asked.name());
                     let malformed = matches!(
                         error,
-                        peer::Error::Malformed { .. } | peer::Error::Unpackable { .. }
+                        peer::Error::Malformed { .. } | peer::Error::Decompress { .. }
                     );
                     let malformed = malformed.then(|| error.to_string());
                     Event::Lost(peer, Lost { asked, malformed })
--- a/crates/peer/src/packed.rs
+++ b/crates/peer/src/compressed.rs
@@ -58,13 +58,13 @@
 /// Packs a message.
 ///
 /// ```
-/// use peer::packed::{pack, unpack};
+/// use peer::compressed::{compress, decompress};
 /// let text = "the same words again and again; ".repeat(100);
-/// let packed = pack(&text).expect("text is JSON");
+/// let packed = compress(&text).expect("text is JSON");
 /// assert!(packed.len() < text.len() / 10);
-/// assert_eq!(unpack::<String>(&packed, 10_000).expect("it was just packed"), text);
+/// assert_eq!(decompress::<String>(&packed, 10_000).expect("it was just packed"), text);
 /// ```
-pub fn pack<T: Serialize>(message: &T) -> Result<Message, serde_json::Error> {
+pub fn compress<T: Serialize>(message: &T) -> Result<Message, serde_json::Error> {
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::new(LEVEL));
     let json = serde_json::to_vec(message)?;
     let written = encoder.write_all(&json).and_then(|()| encoder.finish());
@@ -73,7 +73,7 @@
 }
 
 /// Unpacks a message of at most `limit` bytes of JSON.
-pub fn unpack<T: DeserializeOwned>(message: &Message, limit: u64) -> Result<T, Error> {
+pub fn decompress<T: DeserializeOwned>(message: &Message, limit: u64) -> Result<T, Error> {
     let bytes = STANDARD.decode(message.deflated.as_bytes()).context(TextSnafu)?;
     let mut json = Vec::new();
     let read = DeflateDecoder::new(bytes.as_slice()).take(limit + 1).read_to_end(&mut json);
@@ -127,13 +127,13 @@
 
 impl Cache {
     /// Packs `bundle`, or returns what it was packed to before.
-    pub(crate) fn pack(&self, bundle: &Bundle) -> Result<Message, serde_json::Error> {
-        let Some(content) = Content::of(bundle) else { return pack(bundle) };
+    pub(crate) fn compress(&self, bundle: &Bundle) -> Result<Message, serde_json::Error> {
+        let Some(content) = Content::of(bundle) else { return compress(bundle) };
         let mut last = self.last.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some((_, message)) = last.iter().find(|(kept, _)| *kept == content) {
             return Ok(message.clone());
         }
-        let message = pack(bundle)?;
+        let message = compress(bundle)?;
         if last.len() == KEPT {
             last.pop_front();
         }
--- a/crates/peer/src/datagram.rs
+++ b/crates/peer/src/datagram.rs
@@ -57,13 +57,13 @@
     /// Sends a summary to each of `targets`; returns how many could not be sent.
     ///
     /// One that could not be sent is as good as lost on the way: the next one follows soon.
-    pub fn tell(&self, targets: &[SocketAddr], digest: &Digest) -> usize {
+    pub fn send(&self, targets: &[SocketAddr], digest: &Digest) -> usize {
         let Ok(text) = encode(digest) else { return targets.len() };
         targets.iter().filter(|target| self.socket.send_to(&text, target).is_err()).count()
     }
 
     /// Waits for the next summary.
-    pub fn hear(&self) -> Result<Digest, Error> {
+    pub fn receive(&self) -> Result<Digest, Error> {
         let mut buffer = [0; SIZE_LIMIT];
         let (size, from) = self.socket.recv_from(&mut buffer).context(ReceiveSnafu)?;
         serde_json::from_slice(&buffer[..size]).context(MalformedSnafu { from })
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -4,8 +4,8 @@
 //! [`fleet::message`] into calls and back; it decides nothing. It is an API border: nodes of two
 //! product versions talk to each other through it.
 
+pub mod compressed;
 pub mod datagram;
-pub mod packed;
 
 use fleet::{
     clock::Stamp,
@@ -33,7 +33,7 @@
 const CONNECTION_LIMIT: u32 = 128;
 
 /// Method that answers a pull with a packed bundle.
-const PULL_PACKED: &str = "pull-packed";
+const PULL_COMPRESSED: &str = "pull-packed";
 
 /// JSON-RPC error code of a node that does not answer because it stops.
 const STOPPING: i32 = -32_001;
@@ -44,7 +44,7 @@
 /// What a node answers to others; an empty reply means that it stops.
 pub trait Handler: Send + std::marker::Sync + 'static {
     /// Answers a message.
-    fn ask(&self, request: Request) -> Reply<Response>;
+    fn handle(&self, request: Request) -> Reply<Response>;
     /// Returns the node's state.
     fn status(&self) -> Reply<status::Node>;
     /// Returns the node's events after `stamp`.
@@ -56,7 +56,7 @@
 pub enum Error {
     /// No whole answer in time.
     #[snafu(display("no answer: {source}"))]
-    Silent {
+    NoResponse {
         /// What the library says.
         source: Box<ClientError>,
     },
@@ -68,9 +68,9 @@
     },
     /// A packed answer that cannot be unpacked.
     #[snafu(display("a malformed answer: {source}"))]
-    Unpackable {
+    Decompress {
         /// What is wrong with it.
-        source: packed::Error,
+        source: compressed::Error,
     },
     /// The address could not be listened on.
     #[snafu(display("cannot listen: {source}"))]
@@ -97,24 +97,30 @@
 }
 
 /// Sends `request` to the node at `peer`.
-pub async fn ask(
+pub async fn send(
     peer: SocketAddr,
     request: &Request,
     timeout: Duration,
 ) -> Result<Response, Error> {
     match request {
         Request::Beat(beat) => call(peer, "beat", beat, timeout).await.map(Response::Beat),
-        Request::Pull(pull) => pull_packed(peer, pull, timeout).await.map(Response::Pull),
+        Request::Pull(pull) => pull_compressed(peer, pull, timeout).await.map(Response::Pull),
         Request::Sync(sync) => call(peer, "sync", sync, timeout).await.map(Response::Sync),
         Request::Fetch(fetch) => call(peer, "fetch", fetch, timeout).await.map(Response::Fetch),
     }
 }
 
 /// Pulls the configuration, packed if the other node's version of the product can pack it.
-async fn pull_packed(peer: SocketAddr, pull: &Pull, timeout: Duration) -> Result<Bundle, Error> {
-    match call::<_, packed::Message>(peer, PULL_PACKED, pull, timeout).await {
-        Ok(message) => packed::unpack(&message, MESSAGE_LIMIT.into()).context(UnpackableSnafu),
-        Err(Error::Silent { source }) if is_unknown_method(&source) => {
+async fn pull_compressed(
+    peer: SocketAddr,
+    pull: &Pull,
+    timeout: Duration,
+) -> Result<Bundle, Error> {
+    match call::<_, compressed::Message>(peer, PULL_COMPRESSED, pull, timeout).await {
+        Ok(message) => {
+            compressed::decompress(&message, MESSAGE_LIMIT.into()).context(DecompressSnafu)
+        }
+        Err(Error::NoResponse { source }) if is_unknown_method(&source) => {
             call(peer, "pull", pull, timeout).await
         }
         Err(error) => Err(error),
@@ -154,7 +160,7 @@
         .max_request_size(MESSAGE_LIMIT)
         .max_response_size(MESSAGE_LIMIT)
         .build(format!("http://{peer}"))
-        .map_err(|e| Error::Silent { source: Box::new(e) })?;
+        .map_err(|e| Error::NoResponse { source: Box::new(e) })?;
     let mut parameters = ArrayParams::new();
     parameters
         .insert(parameter)
@@ -165,7 +171,7 @@
             ClientError::ParseError(_) | ClientError::InvalidRequestId(_) => {
                 Error::Malformed { source }
             }
-            _ => Error::Silent { source },
+            _ => Error::NoResponse { source },
         }
     })
 }
@@ -173,34 +179,34 @@
 fn module(handler: Arc<dyn Handler>) -> RpcModule<Arc<dyn Handler>> {
     let mut module = RpcModule::new(handler);
     register::<Beat, Beat>(&mut module, "beat", |handler, beat| {
-        map(handler.ask(Request::Beat(beat)), |response| match response {
+        map(handler.handle(Request::Beat(beat)), |response| match response {
             Response::Beat(beat) => Some(beat),
             _ => None,
         })
     });
     register::<Pull, Bundle>(&mut module, "pull", |handler, pull| {
-        map(handler.ask(Request::Pull(pull)), |response| match response {
+        map(handler.handle(Request::Pull(pull)), |response| match response {
             Response::Pull(bundle) => Some(bundle),
             _ => None,
         })
     });
-    let cache = Arc::new(packed::Cache::default());
-    register::<Pull, packed::Message>(&mut module, PULL_PACKED, move |handler, pull| {
+    let cache = Arc::new(compressed::Cache::default());
+    register::<Pull, compressed::Message>(&mut module, PULL_COMPRESSED, move |handler, pull| {
         let cache = cache.clone();
-        map(handler.ask(Request::Pull(pull)), move |response| match response {
+        map(handler.handle(Request::Pull(pull)), move |response| match response {
             // A bundle is plain data, which always has a JSON form.
-            Response::Pull(bundle) => cache.pack(&bundle).ok(),
+            Response::Pull(bundle) => cache.compress(&bundle).ok(),
             _ => None,
         })
     });
     register::<Sync, Sync>(&mut module, "sync", |handler, sync| {
-        map(handler.ask(Request::Sync(sync)), |response| match response {
+        map(handler.handle(Request::Sync(sync)), |response| match response {
             Response::Sync(sync) => Some(sync),
             _ => None,
         })
     });
     register::<Fetch, Update>(&mut module, "fetch", |handler, fetch| {
-        map(handler.ask(Request::Fetch(fetch)), |response| match response {
+        map(handler.handle(Request::Fetch(fetch)), |response| match response {
             Response::Fetch(update) => Some(update),
             _ => None,
         })
--- a/crates/peer/tests/packed.rs
+++ b/crates/peer/tests/compressed.rs
@@ -5,7 +5,7 @@
     config::Version,
     document::{Delta, Document},
 };
-use peer::packed::{Message, pack, unpack};
+use peer::compressed::{Message, compress, decompress};
 
 const LIMIT: u64 = 12 << 20;
 
@@ -31,16 +31,16 @@
 fn a_configuration_takes_a_fraction_of_its_size() {
     let bundle = bundle();
     let plain = serde_json::to_vec(&bundle).expect("a bundle is JSON").len();
-    let packed = pack(&bundle).expect("a bundle is JSON");
+    let packed = compress(&bundle).expect("a bundle is JSON");
     assert!(packed.len() * 4 < plain, "{} of {plain}", packed.len());
-    assert_eq!(unpack::<Bundle>(&packed, LIMIT).expect("it was just packed"), bundle);
+    assert_eq!(decompress::<Bundle>(&packed, LIMIT).expect("it was just packed"), bundle);
 }
 
 #[track_caller]
 fn check(deflated: &str, expect: &str) {
     let message: Message =
         serde_json::from_value(serde_json::json!({ "deflated": deflated })).expect("a message");
-    let error = unpack::<Bundle>(&message, 1_000).expect_err("it is none").to_string();
+    let error = decompress::<Bundle>(&message, 1_000).expect_err("it is none").to_string();
     assert!(error.starts_with(expect), "{error}");
 }
 
@@ -48,13 +48,13 @@
 fn what_is_no_packed_message_is_told_as_such() {
     check("?", "no base64");
     check("AAAA", "cannot be inflated");
-    check(&text_of(&pack(&"text").expect("text is JSON")), "not the expected message");
+    check(&text_of(&compress(&"text").expect("text is JSON")), "not the expected message");
 }
 
 /// A node is killed for want of memory: a few bytes from a faulty neighbour inflate to gigabytes.
 #[test]
 fn a_message_that_inflates_beyond_the_bound_is_refused() {
-    let bomb = pack(&"0".repeat(1 << 20)).expect("text is JSON");
+    let bomb = compress(&"0".repeat(1 << 20)).expect("text is JSON");
     assert!(bomb.len() < 10_000);
     check(&text_of(&bomb), "more than 1000 bytes");
 }
--- a/crates/peer/tests/datagram.rs
+++ b/crates/peer/tests/datagram.rs
@@ -84,7 +84,7 @@
     let receiver = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).expect("loopback has ports");
     let target = receiver.local_addr().expect("it is bound");
     let socket = Socket::bind(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))).expect("as above");
-    assert_eq!(socket.tell(&[target], digest), 0);
+    assert_eq!(socket.send(&[target], digest), 0);
     let mut buffer = [0; 4_096];
     let size = receiver.recv(&mut buffer).expect("loopback loses no single packet");
     assert!(size <= 1_200, "one packet");
--- a/crates/peer/tests/pulls.rs
+++ b/crates/peer/tests/pulls.rs
@@ -25,7 +25,7 @@
 }
 
 impl Handler for Node {
-    fn ask(&self, request: Request) -> Reply<Response> {
+    fn handle(&self, request: Request) -> Reply<Response> {
         let Request::Pull(pull) = request else { return Box::pin(async { None }) };
         let answer = bundle(pull.buckets[0] as usize);
         Box::pin(async move { Some(Response::Pull(answer)) })
@@ -50,7 +50,7 @@
         let (address, _server) = peer::serve(nowhere, Arc::new(Node)).await.expect("it listens");
         for bucket in [3, 5, 3, 7, 5] {
             let pull = Pull { have: Some(1), buckets: vec![bucket], limit: Some(1) };
-            let answer = peer::ask(address, &Request::Pull(pull), TIMEOUT).await;
+            let answer = peer::send(address, &Request::Pull(pull), TIMEOUT).await;
             assert_eq!(answer.expect("an answer"), Response::Pull(bundle(bucket as usize)));
         }
     });
