--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -269,14 +269,14 @@
                 Effect::Send(peer, request, timeout) => self.send(peer, request, timeout),
                 Effect::Read(query) => self.read(query),
                 Effect::InForce(snapshot) => {
-                    self.parts.meter.revision(snapshot.version.revision);
+                    self.parts.meter.set_revision(snapshot.version.revision);
                     self.parts.hub.set_config(snapshot);
                 }
                 Effect::Expected(revision) => self.parts.hub.set_expected(revision),
                 Effect::View(view) => self.parts.hub.set_view(view),
                 Effect::Tell(targets, digest) => self.tell(&targets, &digest),
                 Effect::Quarantine(quarantine) => {
-                    self.parts.meter.quarantined(quarantine.until.len() as u64);
+                    self.parts.meter.set_quarantined(quarantine.until.len() as u64);
                     self.parts.hub.set_quarantine(quarantine);
                 }
                 Effect::Open => self.parts.hub.set_open(true),
@@ -289,7 +289,7 @@
     fn tell(&self, targets: &[SocketAddr], digest: &Digest) {
         let Some(socket) = &self.digests else { return };
         for _ in 0..targets.len() {
-            self.parts.meter.message("digest");
+            self.parts.meter.count_message("digest");
         }
         // A summary that could not be sent is as good as lost; the next one follows soon.
         let _unsent = socket.send(targets, digest);
@@ -302,14 +302,14 @@
             Request::Sync(_) => Asked::Sync,
             Request::Fetch(_) => Asked::Fetch,
         };
-        self.parts.meter.message(asked.name());
+        self.parts.meter.count_message(asked.name());
         let link = self.link.clone();
         let meter = self.parts.meter.clone();
         self.parts.peers.spawn(async move {
             let event = match peer::send(peer, &request, timeout).await {
                 Ok(response) => Event::Answered(peer, response),
                 Err(error) => {
-                    meter.lost(asked.name());
+                    meter.count_lost_message(asked.name());
                     let malformed = matches!(
                         error,
                         peer::Error::Malformed { .. } | peer::Error::Decompress { .. }
@@ -323,7 +323,7 @@
     }
 
     fn read(&mut self, query: Query) {
-        self.parts.meter.read();
+        self.parts.meter.count_source_read();
         let (lane, topic) = match query {
             Query::Config { .. } => (&self.config, Topic::Config),
             Query::News { .. } => (&self.config, Topic::News),
@@ -340,10 +340,10 @@
         for kind in self.parts.hub.collect() {
             self.apply(Event::Note(kind), None);
         }
-        self.parts.meter.control_cpu(crate::process::control_seconds());
-        self.parts.meter.known_revision(self.machine.known_revision());
+        self.parts.meter.set_control_cpu(crate::process::control_seconds());
+        self.parts.meter.set_known_revision(self.machine.known_revision());
         for (state, name) in STATES {
-            self.parts.meter.members(name, self.machine.count(state) as u64);
+            self.parts.meter.set_members(name, self.machine.count(state) as u64);
         }
     }
 
@@ -352,7 +352,7 @@
         for event in self.machine.events_after(self.logged) {
             self.logged = event.stamp;
             if matches!(event.kind, Kind::Rejected { .. }) {
-                self.parts.meter.rejection();
+                self.parts.meter.count_rejection();
             }
             telemetry::log::event(&event);
         }
--- a/crates/telemetry/src/metric.rs
+++ b/crates/telemetry/src/metric.rs
@@ -118,7 +118,7 @@
     attributes: "",
     help: "Processor time of all threads that do not carry calls",
 };
-const IN_HAND: Entry = Entry {
+const IN_FLIGHT: Entry = Entry {
     name: "baobabrelay.calls.in_hand",
     unit: "{call}",
     attributes: "",
@@ -143,7 +143,7 @@
     LOST,
     READS,
     CONTROL_CPU,
-    IN_HAND,
+    IN_FLIGHT,
 ];
 
 /// Failure to set up or to render metrics.
@@ -183,7 +183,7 @@
     lost: Counter<u64>,
     reads: Counter<u64>,
     control_cpu: Gauge<f64>,
-    in_hand: Gauge<u64>,
+    in_flight: Gauge<u64>,
 }
 
 impl Meter {
@@ -231,93 +231,93 @@
                 .with_unit(CONTROL_CPU.unit)
                 .with_description(CONTROL_CPU.help)
                 .build(),
-            in_hand: gauge(IN_HAND),
+            in_flight: gauge(IN_FLIGHT),
             registry,
             _provider: provider,
         })
     }
 
     /// Counts a call that was answered with `outcome` after `elapsed`.
-    pub fn call(&self, service: &str, outcome: &'static str, elapsed: Duration) {
+    pub fn count_call(&self, service: &str, outcome: &'static str, elapsed: Duration) {
         let service = KeyValue::new("service", service.to_owned());
         self.duration.record(elapsed.as_secs_f64(), std::slice::from_ref(&service));
         self.calls.add(1, &[service, KeyValue::new("outcome", outcome)]);
     }
 
     /// Counts a call that was answered as not run.
-    pub fn not_run(&self, service: &str, cause: &'static str) {
+    pub fn count_not_run(&self, service: &str, cause: &'static str) {
         let service = KeyValue::new("service", service.to_owned());
         self.not_run.add(1, &[service, KeyValue::new("cause", cause)]);
     }
 
     /// Counts an attempt after the first.
-    pub fn retry(&self, service: &str) {
+    pub fn count_retry(&self, service: &str) {
         self.retries.add(1, &[KeyValue::new("service", service.to_owned())]);
     }
 
     /// Counts an offer that was refused before it was run.
-    pub fn refusal(&self, cause: &'static str) {
+    pub fn count_refusal(&self, cause: &'static str) {
         self.refused.add(1, &[KeyValue::new("cause", cause)]);
     }
 
     /// Counts an ejection.
-    pub fn ejection(&self, service: &str) {
+    pub fn count_ejection(&self, service: &str) {
         self.ejections.add(1, &[KeyValue::new("service", service.to_owned())]);
     }
 
     /// Counts an end of the own upstream's process.
-    pub fn upstream_end(&self) {
+    pub fn count_upstream_end(&self) {
         self.ends.add(1, &[]);
     }
 
     /// Sets the number of requests that are not run.
-    pub fn quarantined(&self, requests: u64) {
+    pub fn set_quarantined(&self, requests: u64) {
         self.quarantined.record(requests, &[]);
     }
 
     /// Sets the revision in force.
-    pub fn revision(&self, revision: u64) {
+    pub fn set_revision(&self, revision: u64) {
         self.revision.record(revision, &[]);
     }
 
     /// Sets the highest revision of the configuration that any node was heard to hold.
-    pub fn known_revision(&self, revision: u64) {
+    pub fn set_known_revision(&self, revision: u64) {
         self.known.record(revision, &[]);
     }
 
     /// Counts a refused version.
-    pub fn rejection(&self) {
+    pub fn count_rejection(&self) {
         self.rejected.add(1, &[]);
     }
 
     /// Sets the number of known nodes in `state`.
-    pub fn members(&self, state: &'static str, count: u64) {
+    pub fn set_members(&self, state: &'static str, count: u64) {
         self.members.record(count, &[KeyValue::new("state", state)]);
     }
 
     /// Counts a request sent to another node.
-    pub fn message(&self, kind: &'static str) {
+    pub fn count_message(&self, kind: &'static str) {
         self.messages.add(1, &[KeyValue::new("kind", kind)]);
     }
 
     /// Counts a request to another node that brought no answer in time.
-    pub fn lost(&self, kind: &'static str) {
+    pub fn count_lost_message(&self, kind: &'static str) {
         self.lost.add(1, &[KeyValue::new("kind", kind)]);
     }
 
     /// Counts a call to the platform.
-    pub fn read(&self) {
+    pub fn count_source_read(&self) {
         self.reads.add(1, &[]);
     }
 
     /// Sets the processor time of the control part.
-    pub fn control_cpu(&self, seconds: f64) {
+    pub fn set_control_cpu(&self, seconds: f64) {
         self.control_cpu.record(seconds, &[]);
     }
 
     /// Sets the number of calls in hand.
-    pub fn in_hand(&self, calls: u64) {
-        self.in_hand.record(calls, &[]);
+    pub fn set_in_flight(&self, calls: u64) {
+        self.in_flight.record(calls, &[]);
     }
 
     /// Renders all metrics as Prometheus text, histograms last.
--- a/crates/telemetry/tests/metrics.rs
+++ b/crates/telemetry/tests/metrics.rs
@@ -6,22 +6,22 @@
 /// Records each metric once.
 fn filled() -> Meter {
     let meter = Meter::new().expect("the exporter registers");
-    meter.call("stock", "ok", Duration::from_millis(3));
-    meter.not_run("stock", "full");
-    meter.retry("stock");
-    meter.refusal("full");
-    meter.ejection("stock");
-    meter.upstream_end();
-    meter.quarantined(1);
-    meter.revision(102);
-    meter.known_revision(209);
-    meter.rejection();
-    meter.members("ready", 81);
-    meter.message("pull");
-    meter.lost("pull");
-    meter.read();
-    meter.control_cpu(0.5);
-    meter.in_hand(4);
+    meter.count_call("stock", "ok", Duration::from_millis(3));
+    meter.count_not_run("stock", "full");
+    meter.count_retry("stock");
+    meter.count_refusal("full");
+    meter.count_ejection("stock");
+    meter.count_upstream_end();
+    meter.set_quarantined(1);
+    meter.set_revision(102);
+    meter.set_known_revision(209);
+    meter.count_rejection();
+    meter.set_members("ready", 81);
+    meter.count_message("pull");
+    meter.count_lost_message("pull");
+    meter.count_source_read();
+    meter.set_control_cpu(0.5);
+    meter.set_in_flight(4);
     meter
 }
 
@@ -40,7 +40,7 @@
 fn histograms_come_last() {
     let meter = filled();
     for i in 0..40 {
-        meter.call(&format!("service-{i}"), "ok", Duration::from_millis(i));
+        meter.count_call(&format!("service-{i}"), "ok", Duration::from_millis(i));
     }
     let text = meter.render().expect("it renders");
     let histograms: Vec<bool> =
--- a/crates/traffic/src/entry.rs
+++ b/crates/traffic/src/entry.rs
@@ -51,7 +51,7 @@
         if next_step(hub, call, outcome, tried.len(), arrivals) == retry::Step::GiveUp {
             return Err(last);
         }
-        hub.meter.retry(call.service);
+        hub.meter.count_retry(call.service);
         hub.tally.add(Count::Retried(call.service.to_owned(), address, outcome.reason()));
     }
 }
--- a/crates/traffic/src/entry/attempt.rs
+++ b/crates/traffic/src/entry/attempt.rs
@@ -139,7 +139,7 @@
         let change =
             self.hub.services.with(self.service, |s| s.record(self.upstream, now).end(now, sample));
         if change == Change::Ejected {
-            self.hub.meter.ejection(self.service);
+            self.hub.meter.count_ejection(self.service);
             self.hub.tally.add(Count::Ejected(self.service.to_owned(), self.upstream.address));
         }
     }
--- a/crates/traffic/src/entry/hedge.rs
+++ b/crates/traffic/src/entry/hedge.rs
@@ -41,7 +41,7 @@
     };
     tried.push(second.clone());
     *arrivals += 1;
-    hub.meter.retry(call.service);
+    hub.meter.count_retry(call.service);
     hub.tally.add(Count::Retried(call.service.to_owned(), first.address, "silent"));
     let mut secondary = pin!(attempt::run(hub, call, &second, call.deadline));
     let (earlier, later) = select! {
--- a/crates/traffic/src/hub.rs
+++ b/crates/traffic/src/hub.rs
@@ -252,7 +252,7 @@
     pub fn collect(&self) -> Vec<Kind> {
         self.pool.sweep();
         self.transfers.sweep(self.clock.now());
-        self.meter.in_hand(self.held.calls() as u64);
+        self.meter.set_in_flight(self.held.calls() as u64);
         let mut events = self.tally.take();
         events.extend(self.log.left_out());
         events
--- a/crates/traffic/src/hub/quarantine.rs
+++ b/crates/traffic/src/hub/quarantine.rs
@@ -23,7 +23,7 @@
     /// Takes the ends of the own upstream that were found since the last time, with what ran at each.
     pub fn take_ends(&self) -> Vec<Loss> {
         let ends = self.ends.take();
-        ends.iter().for_each(|_| self.meter.upstream_end());
+        ends.iter().for_each(|_| self.meter.count_upstream_end());
         ends
     }
 
--- a/crates/traffic/src/intake/caller.rs
+++ b/crates/traffic/src/intake/caller.rs
@@ -49,7 +49,7 @@
             let taken = take(hub, request, target, origin, received, &open.trail).await;
             let response = taken.unwrap_or_else(|refusal| refusal.tell(hub, service));
             let elapsed = hub.clock.now().since(received);
-            hub.meter.call(service, wire::known_outcome(outcome_of(&response)), elapsed);
+            hub.meter.count_call(service, wire::known_outcome(outcome_of(&response)), elapsed);
             response
         }
     };
--- a/crates/traffic/src/intake/refusal.rs
+++ b/crates/traffic/src/intake/refusal.rs
@@ -38,7 +38,7 @@
 pub(super) fn tell(hub: &Hub, service: &str, outcome: Outcome) -> Response<wire::Body> {
     match outcome {
         Outcome::NotRun(cause, _) => {
-            hub.meter.not_run(service, cause.name());
+            hub.meter.count_not_run(service, cause.name());
             hub.tally.add(Count::NotRun(service.to_owned(), cause));
         }
         Outcome::Unknown(doubt) => hub.tally.add(Count::Unknown(service.to_owned(), doubt)),
--- a/crates/traffic/src/serving.rs
+++ b/crates/traffic/src/serving.rs
@@ -28,7 +28,7 @@
     let trail = Trail::new(offer_id(hub, &offer));
     let result = attempt(hub, profile, &offer, &trail).await;
     if let Err(Outcome::NotRun(cause, _)) = result {
-        hub.meter.refusal(cause.name());
+        hub.meter.count_refusal(cause.name());
         note_claim(hub, &offer, &trail, cause.name());
     }
     let interest = match &result {
