--- a/crates/traffic/src/entry/attempt.rs
+++ b/crates/traffic/src/entry/attempt.rs
@@ -81,7 +81,7 @@
     let candidates = hub.view().upstreams(call.service).len();
     let step = hub.services.with(call.service, |service| {
         let record = service.record(upstream, now);
-        trail::Step::Offered {
+        trace::Step::Offered {
             attempt,
             upstream: upstream.instance.clone(),
             peer: upstream.traffic.to_string(),
@@ -109,7 +109,7 @@
     };
     call.trail.note(
         &hub.log,
-        trail::Step::Attempted {
+        trace::Step::Attempted {
             attempt,
             outcome: outcome.to_owned(),
             reason: reason.to_owned(),
@@ -139,7 +139,7 @@
         let change =
             self.hub.services.with(self.service, |s| s.record(self.upstream, now).end(now, sample));
         if change == Change::Ejected {
-            self.hub.meter.ejection(self.service);
+            self.hub.meter.count_ejection(self.service);
             self.hub.tally.add(Count::Ejected(self.service.to_owned(), self.upstream.address));
         }
     }
