--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -3,7 +3,7 @@
 mod fields;
 
 use model::{fault::Fault, read::Object, strict};
-use policy::{budget, share::Room, warmup::Excess};
+use policy::{budget, share::Capacity, warmup::Excess};
 use std::{net::SocketAddr, time::Duration};
 use traffic::wire::{HeaderName, Names, Precision};
 
@@ -27,7 +27,7 @@
     /// Threads that carry calls.
     pub traffic_threads: usize,
     /// Room for calls in hand.
-    pub room: Room,
+    pub room: Capacity,
     /// Most connections from callers and other nodes.
     pub connections: usize,
     /// Longest time for opening a connection.
@@ -143,7 +143,7 @@
             platform: NOWHERE,
             contacts: Vec::new(),
             traffic_threads: 2,
-            room: Room::default(),
+            room: Capacity::default(),
             connections: 1_024,
             connect: Duration::from_millis(250),
             plan: Plan::Epidemic,
@@ -180,7 +180,7 @@
 
 fn read_object(object: &mut Object<'_>) -> Settings {
     let usual = Settings::default();
-    let room = Room {
+    let room = Capacity {
         calls: object.number("calls", 1..=1_000_000, usual.room.calls as u64) as usize,
         bytes: object.number("body_bytes", 1_024..=1 << 34, usual.room.bytes as u64) as usize,
     };
--- a/crates/node/src/stop.rs
+++ b/crates/node/src/stop.rs
@@ -4,7 +4,7 @@
 //! call either (`finish`), then the process ends, whatever is still in hand (`limit`).
 
 use fleet::control::Event;
-use policy::drain::{self, LEAVE_LEAST, Plan, Progress, Step};
+use policy::drain::{self, MIN_LEAVE_TIME, Plan, Progress, Step};
 use serde_json::json;
 use std::{
     thread,
@@ -55,7 +55,7 @@
                 closed: closed.map(|at| at.elapsed()),
                 idle: busy.elapsed(),
             };
-            match drain::next(plan, progress) {
+            match drain::next_step(plan, progress) {
                 Step::Wait => thread::sleep(POLL),
                 Step::Close => {
                     self.hub.close();
@@ -68,7 +68,7 @@
 
     fn plan(&self) -> Plan {
         let left = self.settings.stop.limit.saturating_sub(self.settings.stop.linger);
-        let limit = self.hub.drain_limit().max(LEAVE_LEAST).min(left);
+        let limit = self.hub.drain_limit().max(MIN_LEAVE_TIME).min(left);
         Plan { close: limit.saturating_sub(self.settings.stop.finish), limit }
     }
 
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -25,10 +25,10 @@
 const SAMPLE_SHARE: f64 = 0.1;
 
 /// Shortest time after which a refused caller is asked to come back.
-pub const RETRY_AFTER_LEAST: Duration = Duration::from_millis(50);
+pub const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
 
 /// Longest time after which a refused caller is asked to come back.
-pub const RETRY_AFTER_MOST: Duration = Duration::from_secs(30);
+pub const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
 /// Times between two freed slots that a call of an upstream may wait, where that is longer than its rank
 /// allows.
@@ -48,12 +48,12 @@
 
 /// Who makes a call.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Line {
+pub enum Class {
     /// Somebody outside.
     #[default]
-    Callers,
+    External,
     /// An upstream, for work that is under way.
-    Upstreams,
+    Nested,
 }
 
 /// Urgency of a call among those that wait at one upstream.
@@ -64,15 +64,15 @@
     /// Time by which it must have begun; none where only the deadline counts.
     pub start_by: Option<Time>,
     /// Who makes it.
-    pub line: Line,
+    pub class: Class,
 }
 
 /// Answer to an arriving call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Entry {
+pub enum Decision {
     /// A slot is taken for the call.
     Run,
-    /// The call waits, but no longer than until the given time; [`Gate::finish`] will name it when
+    /// The call waits, but no longer than until the given time; [`Limiter::finish`] will name it when
     /// a slot is free.
     Wait(Time),
     /// No slot in time; the caller should come back after the given time.
@@ -85,12 +85,12 @@
     /// When an answer could no longer be in time: the call is refused then and not run.
     until: Time,
     priority: u8,
-    line: Line,
+    class: Class,
 }
 
 /// Slots and queue of one upstream.
 #[derive(Debug)]
-pub struct Gate {
+pub struct Limiter {
     slots: usize,
     busy: usize,
     queue: VecDeque<Waiter>,
@@ -101,10 +101,10 @@
     warm_up: Option<Bucket>,
 }
 
-impl Gate {
+impl Limiter {
     /// Creates a gate in front of `slots` slots.
     pub fn new(slots: usize) -> Self {
-        Gate {
+        Limiter {
             slots,
             busy: 0,
             queue: VecDeque::new(),
@@ -131,53 +131,53 @@
     ///
     /// ```
     /// use model::time::Time;
-    /// use policy::admission::{Entry, Gate, Ticket};
-    /// let mut gate = Gate::new(1);
+    /// use policy::admission::{Decision, Limiter, Ticket};
+    /// let mut gate = Limiter::new(1);
     /// let (now, late) = (Time::from_millis(0), Time::from_millis(900));
-    /// assert_eq!(gate.arrive(Ticket(1), now, late, 8), Entry::Run);
-    /// assert_eq!(gate.arrive(Ticket(2), now, late, 8), Entry::Wait(late));
+    /// assert_eq!(gate.admit(Ticket(1), now, late, 8), Decision::Run);
+    /// assert_eq!(gate.admit(Ticket(2), now, late, 8), Decision::Wait(late));
     /// assert_eq!(gate.finish(Ticket(1), now, None), Some(Ticket(2)));
     /// ```
-    pub fn arrive(
+    pub fn admit(
         &mut self,
         ticket: Ticket,
         now: Time,
         deadline: Time,
         queue_limit: usize,
-    ) -> Entry {
-        self.arrive_ranked(ticket, Rank::default(), now, deadline, queue_limit)
+    ) -> Decision {
+        self.admit_ranked(ticket, Rank::default(), now, deadline, queue_limit)
     }
 
-    /// Decides on a call of `rank`; see [`arrive`](Gate::arrive).
-    pub fn arrive_ranked(
+    /// Decides on a call of `rank`; see [`admit`](Limiter::admit).
+    pub fn admit_ranked(
         &mut self,
         ticket: Ticket,
         rank: Rank,
         now: Time,
         deadline: Time,
         queue_limit: usize,
-    ) -> Entry {
+    ) -> Decision {
         // Where a slot is free and calls wait, they wait for a token and go first.
         if self.busy < self.slots && self.queue.is_empty() && self.take_token(now) {
             self.busy += 1;
-            self.hold(ticket, rank.line);
-            return Entry::Run;
+            self.hold(ticket, rank.class);
+            return Decision::Run;
         }
         self.drop_expired(now);
-        if !self.admits(rank, now, deadline, queue_limit) {
+        if !self.would_admit(rank, now, deadline, queue_limit) {
             cov_mark::hit!(gate_refuses);
-            return Entry::Refuse(self.retry_after(now));
+            return Decision::Refuse(self.retry_after(now));
         }
         let place = self.queue.partition_point(|w| w.priority <= rank.priority);
         // More urgent calls may yet come and go first.
         let until = self.latest_start(rank, now, deadline);
-        let waiter = Waiter { ticket, until, priority: rank.priority, line: rank.line };
+        let waiter = Waiter { ticket, until, priority: rank.priority, class: rank.class };
         self.queue.insert(place, waiter);
-        Entry::Wait(until)
+        Decision::Wait(until)
     }
 
     /// Tells whether a call of `rank` would be let in or could wait.
-    pub fn admits(&self, rank: Rank, now: Time, deadline: Time, queue_limit: usize) -> bool {
+    pub fn would_admit(&self, rank: Rank, now: Time, deadline: Time, queue_limit: usize) -> bool {
         if self.busy < self.slots && self.token_wait(1, now).is_zero() {
             return true;
         }
@@ -191,9 +191,9 @@
     /// Returns by when a call must have begun.
     fn latest_start(&self, rank: Rank, now: Time, deadline: Time) -> Time {
         let start_by = rank.start_by.unwrap_or(deadline).min(deadline);
-        match rank.line {
-            Line::Callers => start_by,
-            Line::Upstreams => {
+        match rank.class {
+            Class::External => start_by,
+            Class::Nested => {
                 let most = deadline.since(now) / NESTED_WAIT_SHARE;
                 let turnovers = self.expected_wait(1, now) * NESTED_TURNOVERS;
                 start_by.max(now + turnovers.min(most))
@@ -205,13 +205,13 @@
     fn place(&self, rank: Rank) -> usize {
         let by_rank = self.queue.partition_point(|w| w.priority <= rank.priority);
         let nested = |waiters: usize| {
-            self.queue.iter().take(waiters).filter(|w| w.line == Line::Upstreams).count()
+            self.queue.iter().take(waiters).filter(|w| w.class == Class::Nested).count()
         };
         let all = nested(self.queue.len());
-        match rank.line {
-            Line::Upstreams if nested(by_rank) < self.quota() => nested(by_rank),
-            Line::Upstreams => by_rank,
-            Line::Callers => by_rank + (all - nested(by_rank)).min(self.quota()),
+        match rank.class {
+            Class::Nested if nested(by_rank) < self.quota() => nested(by_rank),
+            Class::Nested => by_rank,
+            Class::External => by_rank + (all - nested(by_rank)).min(self.quota()),
         }
     }
 
@@ -226,15 +226,15 @@
 
     /// Takes the call that goes next out of the queue.
     fn next(&mut self) -> Option<Waiter> {
-        let nested = self.queue.iter().position(|w| w.line == Line::Upstreams);
+        let nested = self.queue.iter().position(|w| w.class == Class::Nested);
         match nested {
             Some(index) if self.quota() > 0 => self.queue.remove(index),
             _ => self.queue.pop_front(),
         }
     }
 
-    fn hold(&mut self, ticket: Ticket, line: Line) {
-        if line == Line::Upstreams {
+    fn hold(&mut self, ticket: Ticket, class: Class) {
+        if class == Class::Nested {
             self.nested.insert(ticket);
         }
     }
@@ -244,11 +244,11 @@
     /// Returns the calls that may run now; their slots are taken.
     pub fn resize(&mut self, slots: usize, now: Time) -> Vec<Ticket> {
         self.slots = slots;
-        self.release(now)
+        self.grant_waiting(now)
     }
 
     /// Returns the waiting calls for which there are slots and tokens now; their slots are taken.
-    pub fn release(&mut self, now: Time) -> Vec<Ticket> {
+    pub fn grant_waiting(&mut self, now: Time) -> Vec<Ticket> {
         std::iter::from_fn(|| self.release_one(now)).collect()
     }
 
@@ -263,7 +263,7 @@
         }
         let waiter = self.next()?;
         self.busy += 1;
-        self.hold(waiter.ticket, waiter.line);
+        self.hold(waiter.ticket, waiter.class);
         Some(waiter.ticket)
     }
 
@@ -307,7 +307,7 @@
 
     /// Forgets a waiting call; returns whether it was still waiting.
     ///
-    /// A call that is no longer waiting holds a slot and must [`finish`](Gate::finish).
+    /// A call that is no longer waiting holds a slot and must [`finish`](Limiter::finish).
     pub fn cancel(&mut self, ticket: Ticket) -> bool {
         let before = self.queue.len();
         self.queue.retain(|w| w.ticket != ticket);
@@ -317,7 +317,7 @@
     /// Returns when a refused caller has a fair chance: once the present queue has been worked off.
     pub fn retry_after(&self, now: Time) -> Duration {
         let wait = self.expected_wait(self.queue.len() + 1, now);
-        wait.clamp(RETRY_AFTER_LEAST, RETRY_AFTER_MOST)
+        wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
     }
 
     /// Returns the number of calls that hold a slot.
--- a/crates/policy/src/budget.rs
+++ b/crates/policy/src/budget.rs
@@ -22,12 +22,12 @@
     pub slack: f64,
     /// Part of both that is used. The rest is kept for what no node can see: calls that a repeated
     /// run makes count as repeats at the service that it calls.
-    pub used: f64,
+    pub usable_share: f64,
 }
 
 impl Default for Settings {
     fn default() -> Self {
-        Settings { window: Duration::from_secs(10), ratio: 0.2, slack: 64.0, used: 0.6 }
+        Settings { window: Duration::from_secs(10), ratio: 0.2, slack: 64.0, usable_share: 0.6 }
     }
 }
 
@@ -46,7 +46,7 @@
 
 impl Window {
     /// Notes a call.
-    pub fn call(&mut self, settings: &Settings, now: Time) {
+    pub fn record_call(&mut self, settings: &Settings, now: Time) {
         self.bucket(settings, now).calls += 1;
     }
 
@@ -55,17 +55,17 @@
     /// ```
     /// use model::time::Time;
     /// use policy::budget::{Settings, Window};
-    /// let settings = Settings { slack: 10.0, used: 1.0, ..Settings::default() };
+    /// let settings = Settings { slack: 10.0, usable_share: 1.0, ..Settings::default() };
     /// let mut window = Window::default();
-    /// let granted = (0..9).filter(|_| window.repeat(&settings, 5, Time::default())).count();
+    /// let granted = (0..9).filter(|_| window.try_retry(&settings, 5, Time::default())).count();
     /// assert_eq!(granted, 2);
     /// ```
-    pub fn repeat(&mut self, settings: &Settings, nodes: usize, now: Time) -> bool {
+    pub fn try_retry(&mut self, settings: &Settings, nodes: usize, now: Time) -> bool {
         self.bucket(settings, now);
         let calls: u32 = self.buckets.iter().map(|b| b.calls).sum();
         let repeats: u32 = self.buckets.iter().map(|b| b.repeats).sum();
         let share = settings.slack / nodes.max(1) as f64;
-        let allowed = (settings.ratio * f64::from(calls) + share) * settings.used;
+        let allowed = (settings.ratio * f64::from(calls) + share) * settings.usable_share;
         if f64::from(repeats + 1) > allowed {
             cov_mark::hit!(window_spent);
             return false;
--- a/crates/policy/src/choice.rs
+++ b/crates/policy/src/choice.rs
@@ -23,7 +23,7 @@
     /// What was seen of it.
     pub record: &'a Record,
     /// Whether it is in the entry node's own data centre.
-    pub near: bool,
+    pub local: bool,
     /// Whether this call was already offered to it.
     pub tried: bool,
 }
@@ -32,9 +32,9 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Reach {
     /// None.
-    OwnOnly,
+    LocalOnly,
     /// All, when no upstream of the own data centre is able.
-    Spill,
+    Failover,
 }
 
 /// Returns the index of the chosen candidate, or none where no untried one is left.
@@ -50,18 +50,18 @@
     random: &mut impl Rng,
 ) -> Option<usize> {
     let pools: &[bool] = match reach {
-        Reach::OwnOnly => &[true],
-        Reach::Spill => &[true, false],
+        Reach::LocalOnly => &[true],
+        Reach::Failover => &[true, false],
     };
-    for &near in pools {
+    for &local in pools {
         let able =
-            indices(candidates, |c| c.near == near && !c.tried && c.record.is_able(kind, now));
+            indices(candidates, |c| c.local == local && !c.tried && c.record.accepts(kind, now));
         if let Some(index) = best_of_two(candidates, &able, slow_start, now, random) {
             return Some(index);
         }
     }
-    for &near in pools {
-        let ejected = indices(candidates, |c| c.near == near && !c.tried);
+    for &local in pools {
+        let ejected = indices(candidates, |c| c.local == local && !c.tried);
         let soonest = ejected.into_iter().min_by_key(|&i| candidates[i].record.ejected_until());
         if soonest.is_some() {
             cov_mark::hit!(choice_takes_ejected);
@@ -88,7 +88,7 @@
     let first = random.random_range(0..able.len());
     let second = (first + random.random_range(1..able.len())) % able.len();
     // A new upstream counts as average.
-    let guess = health::usual_latency(able.iter().map(|&i| candidates[i].record), now);
+    let guess = health::mean_latency(able.iter().map(|&i| candidates[i].record), now);
     let guess = guess.unwrap_or(LATENCY_GUESS);
     let score = |i: usize| expected_work(candidates[i].record, guess, slow_start, now);
     let (a, b) = (able[first], able[second]);
@@ -97,5 +97,5 @@
 
 fn expected_work(record: &Record, guess: Duration, slow_start: Duration, now: Time) -> f64 {
     let latency = record.latency(now).unwrap_or(guess).as_secs_f64();
-    (record.in_flight() + 1) as f64 * latency / record.share(now, slow_start)
+    (record.in_flight() + 1) as f64 * latency / record.slow_start_weight(now, slow_start)
 }
--- a/crates/policy/src/claim.rs
+++ b/crates/policy/src/claim.rs
@@ -12,7 +12,7 @@
 
 /// What the serving node knows about a request at the moment of its claim.
 #[derive(Clone, Copy, Debug)]
-pub struct Facts {
+pub struct Conditions {
     /// The moment of the decision.
     pub now: Time,
     /// When the time for the call is over.
@@ -20,11 +20,11 @@
     /// Whether the node was stopped between the request's sending and now, as far as it can tell.
     pub paused: bool,
     /// Whether the connection that the request came on is still open.
-    pub wanted: bool,
+    pub connected: bool,
     /// Whether the upstream is leaving.
     pub leaving: bool,
     /// Whether the request was meant for this life of the node.
-    pub own: bool,
+    pub current_incarnation: bool,
     /// Whether operators had the upstream's data centre evacuated.
     pub evacuated: bool,
     /// Whether upstreams ended under such requests, so that it must not run.
@@ -36,45 +36,45 @@
 /// ```
 /// use model::time::Time;
 /// use policy::{claim, outcome::Cause};
-/// let facts = claim::Facts {
+/// let conditions = claim::Conditions {
 ///     now: Time::from_millis(10), deadline: Time::from_millis(9),
-///     paused: false, wanted: true, leaving: false, own: true,
+///     paused: false, connected: true, leaving: false, current_incarnation: true,
 ///     evacuated: false, quarantined: false,
 /// };
-/// assert_eq!(claim::refusal(facts), Some(Cause::Late));
+/// assert_eq!(claim::refusal(conditions), Some(Cause::Late));
 /// ```
-pub fn refusal(facts: Facts) -> Option<Cause> {
-    if !facts.own {
+pub fn refusal(conditions: Conditions) -> Option<Cause> {
+    if !conditions.current_incarnation {
         // An entry node that still believes in the previous life of this address would otherwise
         // reach an upstream of another service, or one that has forgotten the caller's session.
         cov_mark::hit!(claim_replaced);
         return Some(Cause::Replaced);
     }
-    if facts.quarantined {
+    if conditions.quarantined {
         // The entry node may not have heard of it, or heard while the request waited here for a slot.
         cov_mark::hit!(claim_quarantined);
         return Some(Cause::Quarantined);
     }
-    if facts.paused {
+    if conditions.paused {
         // A request read after a pause may have been given up on long ago; its caller was told
         // "unknown" or has retried. Running it now would run a payment a second time.
         cov_mark::hit!(claim_paused);
         return Some(Cause::Paused);
     }
-    if facts.now >= facts.deadline {
+    if conditions.now >= conditions.deadline {
         cov_mark::hit!(claim_late);
         return Some(Cause::Late);
     }
-    if !facts.wanted {
+    if !conditions.connected {
         // The offering side closes its connection when it gives up or dies.
         cov_mark::hit!(claim_cancelled);
         return Some(Cause::Cancelled);
     }
-    if facts.leaving {
+    if conditions.leaving {
         cov_mark::hit!(claim_leaving);
         return Some(Cause::Leaving);
     }
-    if facts.evacuated {
+    if conditions.evacuated {
         // The entry node may not have heard of the order, or heard while the request waited here.
         cov_mark::hit!(claim_evacuated);
         return Some(Cause::Evacuated);
@@ -96,10 +96,10 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// let told = policy::claim::passed_on(Duration::from_millis(200));
+/// let told = policy::claim::forwarded_timeout(Duration::from_millis(200));
 /// assert_eq!(told.as_millis(), 190);
 /// ```
-pub fn passed_on(remaining: Duration) -> Duration {
+pub fn forwarded_timeout(remaining: Duration) -> Duration {
     remaining - (remaining / RESERVE_SHARE).min(RESERVE_MOST)
 }
 
--- a/crates/policy/src/comeback.rs
+++ b/crates/policy/src/client_retry.rs
@@ -32,9 +32,9 @@
     #[default]
     First,
     /// A later one, made before the caller was asked to come back.
-    Hasty,
+    Early,
     /// A later one, made when the caller was asked to come back, or after that.
-    Later,
+    Retry,
 }
 
 /// A request that was refused.
@@ -50,16 +50,16 @@
 
 /// Requests that were refused lately.
 #[derive(Debug, Default)]
-pub struct Register {
+pub struct History {
     entries: HashMap<Fingerprint, Entry>,
     /// In the order in which they were noted, to forget the oldest first.
     order: VecDeque<(Fingerprint, Time)>,
 }
 
-impl Register {
+impl History {
     /// Notes that a caller who has been asking since `begun` was refused at `now`, was asked to come
     /// back after `after` and has time until `until`.
-    pub fn note(
+    pub fn record(
         &mut self,
         fingerprint: Fingerprint,
         begun: Time,
@@ -77,19 +77,19 @@
     ///
     /// ```
     /// use model::{request::Fingerprint, time::Time};
-    /// use policy::comeback::{Attempt, Register};
+    /// use policy::client_retry::{Attempt, History};
     /// use std::time::Duration;
     /// let (begun, until) = (Time::from_millis(0), Time::from_millis(900));
-    /// let mut register = Register::default();
-    /// register.note(Fingerprint(7), begun, begun, Duration::from_millis(100), until);
-    /// let found = register.take(Fingerprint(7), Time::from_millis(110));
-    /// assert_eq!(found, (Attempt::Later, begun));
+    /// let mut history = History::default();
+    /// history.record(Fingerprint(7), begun, begun, Duration::from_millis(100), until);
+    /// let found = history.take(Fingerprint(7), Time::from_millis(110));
+    /// assert_eq!(found, (Attempt::Retry, begun));
     /// ```
     pub fn take(&mut self, fingerprint: Fingerprint, now: Time) -> (Attempt, Time) {
         match self.entries.remove(&fingerprint) {
             Some(entry) if now >= entry.until => (Attempt::First, now),
-            Some(entry) if now < entry.due => (Attempt::Hasty, entry.begun),
-            Some(entry) => (Attempt::Later, entry.begun),
+            Some(entry) if now < entry.due => (Attempt::Early, entry.begun),
+            Some(entry) => (Attempt::Retry, entry.begun),
             None => (Attempt::First, now),
         }
     }
--- a/crates/policy/src/drain.rs
+++ b/crates/policy/src/drain.rs
@@ -6,7 +6,7 @@
 ///
 /// Entry nodes that have not heard of it yet still offer calls in this time and are told "not
 /// run"; after the end, an offer already written could only be answered "unknown".
-pub const LEAVE_LEAST: Duration = Duration::from_secs(1);
+pub const MIN_LEAVE_TIME: Duration = Duration::from_secs(1);
 
 /// A leaving node ends only after no offer has come for this long.
 const QUIET: Duration = Duration::from_millis(300);
@@ -59,17 +59,17 @@
 /// Returns what a stopping node does next; it never ends before it has closed.
 ///
 /// ```
-/// use policy::drain::{Plan, Progress, Step, next};
+/// use policy::drain::{Plan, Progress, Step, next_step};
 /// use std::time::Duration;
 /// let plan = Plan { close: Duration::from_secs(2), limit: Duration::from_secs(4) };
 /// let idle = Duration::from_secs(1);
 /// let progress = Progress { elapsed: Duration::from_secs(1), closed: None, idle };
-/// assert_eq!(next(plan, progress), Step::Close);
-/// assert_eq!(next(plan, Progress { closed: Some(idle), ..progress }), Step::End);
+/// assert_eq!(next_step(plan, progress), Step::Close);
+/// assert_eq!(next_step(plan, Progress { closed: Some(idle), ..progress }), Step::End);
 /// ```
-pub fn next(plan: Plan, progress: Progress) -> Step {
+pub fn next_step(plan: Plan, progress: Progress) -> Step {
     let Progress { elapsed, closed, idle } = progress;
-    let is_quiet = elapsed >= LEAVE_LEAST && idle >= QUIET;
+    let is_quiet = elapsed >= MIN_LEAVE_TIME && idle >= QUIET;
     let Some(closed) = closed else {
         let closes = is_quiet || elapsed >= plan.close.min(plan.limit);
         return if closes { Step::Close } else { Step::Wait };
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -49,9 +49,9 @@
     /// The upstream refused work; it is alive.
     Refused,
     /// No answer in the given time.
-    Silent(Duration),
+    TimedOut(Duration),
     /// A whole answer after the given time, by which the upstream says that it failed.
-    Erred(Duration),
+    ErrorAnswer(Duration),
     /// A broken answer, or a broken connection.
     Failed,
     /// No connection: nobody is there.
@@ -76,7 +76,7 @@
                 _,
             ) => Sample::Unreachable,
             Outcome::NotRun(..) => Sample::Refused,
-            Outcome::Unknown(Doubt::Timeout) => Sample::Silent(time),
+            Outcome::Unknown(Doubt::Timeout) => Sample::TimedOut(time),
             Outcome::Unknown(_) => Sample::Failed,
         }
     }
@@ -150,7 +150,7 @@
         self.in_flight = self.in_flight.saturating_sub(1);
         self.note_failure(sample, now);
         match sample {
-            Sample::Answered(latency) | Sample::Erred(latency) => {
+            Sample::Answered(latency) | Sample::ErrorAnswer(latency) => {
                 self.average(latency, now);
                 self.failures = 0;
                 self.ejections = 0;
@@ -158,7 +158,7 @@
                 Change::None
             }
             Sample::Refused => Change::None,
-            Sample::Silent(waited) => {
+            Sample::TimedOut(waited) => {
                 // The time waited in vain counts as latency, so that the next calls go elsewhere
                 // even before the failures in a row are enough.
                 self.average(waited, now);
@@ -175,7 +175,7 @@
     }
 
     /// Notes that a call took `ratio` times as long as calls of its route usually do.
-    pub fn compare(&mut self, ratio: f64, now: Time) {
+    pub fn record_slowness(&mut self, ratio: f64, now: Time) {
         let old = self.slowness(now);
         self.slowness = old + (ratio - old) * SAMPLE_SHARE;
         self.slowness_at = now;
@@ -187,14 +187,14 @@
     }
 
     /// Notes that a call which was given up after `waited` was answered by another upstream.
-    pub fn overtaken(&mut self, waited: Duration, now: Time) {
+    pub fn record_hedge_loss(&mut self, waited: Duration, now: Time) {
         self.average(waited, now);
-        self.note_failure(Sample::Silent(waited), now);
+        self.note_failure(Sample::TimedOut(waited), now);
     }
 
     /// Takes note of what the serving node told with an answer to one of this node's calls, which
     /// has been counted as ended.
-    pub fn hear_load(&mut self, load: Load, now: Time) {
+    pub fn update_load(&mut self, load: Load, now: Time) {
         let held = load.busy + load.waiting;
         self.others = held.saturating_sub(self.in_flight) as f64;
         self.bodies = load.bodies as f64;
@@ -220,7 +220,7 @@
     }
 
     /// Ends an ejection early: the upstream's node has been heard of again.
-    pub fn pardon(&mut self, now: Time) {
+    pub fn reinstate(&mut self, now: Time) {
         if self.ejected_until > now && self.unreachable {
             self.ejected_until = now;
             self.ejections = 0;
@@ -238,7 +238,7 @@
     /// Once its ejection is over, an upstream is tried with one call at a time that can be
     /// repeated, until it answers one: an upstream that is still frozen then costs a read some
     /// time, and not a payment its outcome.
-    pub fn is_able(&self, kind: Kind, now: Time) -> bool {
+    pub fn accepts(&self, kind: Kind, now: Time) -> bool {
         if self.is_ejected(now) {
             return false;
         }
@@ -284,9 +284,9 @@
     /// use model::time::Time;
     /// use std::time::Duration;
     /// let record = policy::health::Record::new(Time::from_millis(0));
-    /// assert_eq!(record.share(Time::from_millis(3_000), Duration::from_secs(2)), 1.0);
+    /// assert_eq!(record.slow_start_weight(Time::from_millis(3_000), Duration::from_secs(2)), 1.0);
     /// ```
-    pub fn share(&self, now: Time, slow_start: Duration) -> f64 {
+    pub fn slow_start_weight(&self, now: Time, slow_start: Duration) -> f64 {
         let age = now.since(self.known_since);
         if age >= slow_start {
             return 1.0;
@@ -309,7 +309,7 @@
     fn note_failure(&mut self, sample: Sample, now: Time) {
         let failed = match sample {
             Sample::Answered(_) => 0.0,
-            Sample::Erred(_) | Sample::Silent(_) | Sample::Failed => 1.0,
+            Sample::ErrorAnswer(_) | Sample::TimedOut(_) | Sample::Failed => 1.0,
             // Neither says how the upstream treats the calls that it takes.
             Sample::Refused | Sample::Unreachable => return,
         };
@@ -336,7 +336,7 @@
 }
 
 /// Returns the mean latency of those upstreams that have one.
-pub fn usual_latency<'a>(
+pub fn mean_latency<'a>(
     records: impl IntoIterator<Item = &'a Record>,
     now: Time,
 ) -> Option<Duration> {
--- a/crates/policy/src/latency.rs
+++ b/crates/policy/src/latency.rs
@@ -42,22 +42,22 @@
     /// use policy::latency::Estimate;
     /// use std::time::Duration;
     /// let guess = Estimate::guess(Duration::from_millis(300));
-    /// assert_eq!(guess.usual(), Duration::from_millis(100));
-    /// assert_eq!(guess.unusual(), Duration::from_millis(300));
+    /// assert_eq!(guess.mean(), Duration::from_millis(100));
+    /// assert_eq!(guess.outlier_threshold(), Duration::from_millis(300));
     /// ```
     pub fn guess(due: Duration) -> Self {
         Estimate::new(due / 3)
     }
 
     /// Notes a call that was answered after `sample`.
-    pub fn note(&mut self, sample: Duration) {
+    pub fn record(&mut self, sample: Duration) {
         let off = sample.abs_diff(self.mean);
         self.deviation = smooth(self.deviation, off, DEVIATION_SHARE);
         self.mean = smooth(self.mean, sample, MEAN_SHARE);
     }
 
     /// Returns the time that such calls usually take.
-    pub fn usual(&self) -> Duration {
+    pub fn mean(&self) -> Duration {
         self.mean
     }
 
@@ -68,10 +68,10 @@
     /// use std::time::Duration;
     /// let ms = Duration::from_millis;
     /// let mut latency = Estimate::new(ms(80));
-    /// (0..200).for_each(|i| latency.note(ms(if i % 2 == 0 { 70 } else { 90 })));
-    /// assert!(latency.unusual() > ms(110) && latency.unusual() < ms(130));
+    /// (0..200).for_each(|i| latency.record(ms(if i % 2 == 0 { 70 } else { 90 })));
+    /// assert!(latency.outlier_threshold() > ms(110) && latency.outlier_threshold() < ms(130));
     /// ```
-    pub fn unusual(&self) -> Duration {
+    pub fn outlier_threshold(&self) -> Duration {
         self.mean + self.deviation.mul_f64(UNUSUAL)
     }
 
@@ -107,15 +107,15 @@
     ///
     /// ```
     /// let mut size = policy::latency::Size::new(4_000);
-    /// size.note(8_000);
-    /// assert_eq!(size.usual(), 4_250);
+    /// size.record(8_000);
+    /// assert_eq!(size.mean(), 4_250);
     /// ```
-    pub fn note(&mut self, bytes: usize) {
+    pub fn record(&mut self, bytes: usize) {
         self.mean += (bytes as f64 - self.mean) * MEAN_SHARE;
     }
 
     /// Returns the bytes that such answers usually have.
-    pub fn usual(&self) -> usize {
+    pub fn mean(&self) -> usize {
         self.mean as usize
     }
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -8,7 +8,7 @@
 pub mod budget;
 pub mod choice;
 pub mod claim;
-pub mod comeback;
+pub mod client_retry;
 pub mod connection;
 pub mod drain;
 pub mod health;
--- a/crates/policy/src/outcome.rs
+++ b/crates/policy/src/outcome.rs
@@ -121,9 +121,9 @@
     /// The other side closes or resets the connection.
     Closed,
     /// The other side is silent until the time is over.
-    Silent,
+    Timeout,
     /// What arrives is not a whole message of this call.
-    Garbled,
+    Malformed,
 }
 
 /// Returns what is true of a call that was lost at `step` by `loss`.
@@ -150,11 +150,11 @@
     let unclaimed = matches!(step, Step::Receive | Step::Connect | Step::Queue | Step::Dial);
     match loss {
         Loss::Refusal(cause) if step != Step::Answer => cause.outcome(),
-        Loss::Closed | Loss::Garbled if unclaimed => cause_of(step).outcome(),
-        Loss::Silent if unclaimed => silence_of(step).outcome(),
+        Loss::Closed | Loss::Malformed if unclaimed => cause_of(step).outcome(),
+        Loss::Timeout if unclaimed => silence_of(step).outcome(),
         Loss::Closed => Outcome::Unknown(Doubt::Broken),
-        Loss::Silent => Outcome::Unknown(Doubt::Timeout),
-        Loss::Garbled | Loss::Refusal(_) => Outcome::Unknown(Doubt::BadAnswer),
+        Loss::Timeout => Outcome::Unknown(Doubt::Timeout),
+        Loss::Malformed | Loss::Refusal(_) => Outcome::Unknown(Doubt::BadAnswer),
     }
 }
 
--- a/crates/policy/src/pause.rs
+++ b/crates/policy/src/pause.rs
@@ -7,18 +7,18 @@
 use model::time::Time;
 use std::time::Duration;
 
-/// Settings of a [`Watch`].
+/// Settings of a [`Detector`].
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
     /// A gap between two beats longer than this is a pause.
     pub gap: Duration,
     /// For this long after a pause, received requests may have waited in socket buffers.
-    pub doubt: Duration,
+    pub stale_window: Duration,
 }
 
 impl Default for Settings {
     fn default() -> Self {
-        Settings { gap: Duration::from_millis(400), doubt: Duration::from_millis(100) }
+        Settings { gap: Duration::from_millis(400), stale_window: Duration::from_millis(100) }
     }
 }
 
@@ -31,31 +31,31 @@
 
 /// The last beat and the last pause.
 #[derive(Clone, Copy, Debug)]
-pub struct Watch {
+pub struct Detector {
     settings: Settings,
-    beat: Time,
+    last_tick: Time,
     last: Option<Pause>,
 }
 
-impl Watch {
+impl Detector {
     /// Starts with a beat at `now`.
     pub fn new(settings: Settings, now: Time) -> Self {
-        Watch { settings, beat: now, last: None }
+        Detector { settings, last_tick: now, last: None }
     }
 
     /// Notes a beat and returns the length of the pause that it ends, if any.
     ///
     /// ```
     /// use model::time::Time;
-    /// use policy::pause::{Settings, Watch};
-    /// let mut watch = Watch::new(Settings::default(), Time::from_millis(0));
-    /// assert!(watch.beat(Time::from_millis(50)).is_none());
-    /// assert_eq!(watch.beat(Time::from_millis(5_050)).unwrap().as_secs(), 5);
+    /// use policy::pause::{Settings, Detector};
+    /// let mut detector = Detector::new(Settings::default(), Time::from_millis(0));
+    /// assert!(detector.tick(Time::from_millis(50)).is_none());
+    /// assert_eq!(detector.tick(Time::from_millis(5_050)).unwrap().as_secs(), 5);
     /// ```
-    pub fn beat(&mut self, now: Time) -> Option<Duration> {
-        let gap = now.since(self.beat);
-        let began = self.beat;
-        self.beat = self.beat.max(now);
+    pub fn tick(&mut self, now: Time) -> Option<Duration> {
+        let gap = now.since(self.last_tick);
+        let began = self.last_tick;
+        self.last_tick = self.last_tick.max(now);
         if gap <= self.settings.gap {
             return None;
         }
@@ -68,9 +68,10 @@
     /// The traffic threads may run before the thread that beats, so a beat that is overdue at
     /// `now` counts as a pause as well. A request read before the pause is not in doubt: its
     /// deadline was fixed then and has gone on counting.
-    pub fn in_doubt(&self, received: Time, now: Time) -> bool {
-        let overdue = now.since(self.beat) > self.settings.gap && received >= self.beat;
-        let woken = |p: Pause| p.began <= received && received <= p.woke + self.settings.doubt;
+    pub fn may_be_stale(&self, received: Time, now: Time) -> bool {
+        let overdue = now.since(self.last_tick) > self.settings.gap && received >= self.last_tick;
+        let woken =
+            |p: Pause| p.began <= received && received <= p.woke + self.settings.stale_window;
         overdue || self.last.is_some_and(woken)
     }
 }
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -44,7 +44,7 @@
 
 /// Bodies of at least so many bytes take turns on slow links. Smaller ones cross a link of 5 Mbit/s
 /// in 25 ms, about what asking costs between data centres on a busy machine.
-pub const LARGE: usize = 16 * 1024;
+pub const LARGE_BODY_BYTES: usize = 16 * 1024;
 
 /// Addition to a large body's way for each one that goes before it, in shares of the slots.
 ///
@@ -75,13 +75,13 @@
 
 /// Where an upstream is, as seen from the entry node.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Way {
+pub enum Locality {
     /// Beside it: nothing crosses a link.
-    Own,
+    Instance,
     /// In the same data centre.
-    Near,
+    DataCentre,
     /// In another data centre.
-    Far,
+    Remote,
 }
 
 /// Whether an upstream is cold after a start.
@@ -103,13 +103,13 @@
     /// Calls that it works on at once; 0 where that is not known.
     pub slots: usize,
     /// Where it is, as seen from the entry node.
-    pub way: Way,
+    pub locality: Locality,
     /// Whether this call was already offered to it.
     pub tried: bool,
     /// Bytes that have to be sent to it.
-    pub crossing: usize,
+    pub request_bytes: usize,
     /// Bytes that usually come back; 0 where that is not known.
-    pub returning: usize,
+    pub response_bytes: usize,
     /// Whether it is cold.
     pub cold: Cold,
     /// Upstreams that the call was offered to so far. Nearly all of them refused it for want of room;
@@ -128,7 +128,7 @@
     random: &mut impl Rng,
 ) -> Option<usize> {
     let untried = || (0..candidates.len()).filter(|&i| !candidates[i].tried);
-    let able = untried().filter(|&i| candidates[i].record.is_able(kind, now));
+    let able = untried().filter(|&i| candidates[i].record.accepts(kind, now));
     let mut best: Option<(f64, usize)> = None;
     for index in able {
         let jitter = random.random_range(0.0..JITTER);
@@ -143,7 +143,7 @@
 
 /// Returns what is added for the bytes that cross to and from another data centre.
 fn far_bytes(candidate: &Candidate<'_>) -> f64 {
-    let bytes = (candidate.crossing + candidate.returning) as f64;
+    let bytes = (candidate.request_bytes + candidate.response_bytes) as f64;
     (bytes * FAR_BYTE).min(FAR_BYTES_MOST) / PER_REFUSAL.powi(candidate.refusals as i32)
 }
 
@@ -168,12 +168,16 @@
     let cold = if candidate.cold == Cold::No { 1.0 } else { COLD };
     let failing = record.failure_share(now);
     let answering = (1.0 - failing).max(0.1);
-    let bytes = candidate.crossing as f64;
-    let before = if candidate.crossing >= LARGE { record.expected_bodies(now) * BODY } else { 0.0 };
-    let way = match candidate.way {
-        Way::Own => 0.0,
-        Way::Near => before + bytes * NEAR_BYTE,
-        Way::Far => FAR + before + far_bytes(candidate),
+    let bytes = candidate.request_bytes as f64;
+    let before = if candidate.request_bytes >= LARGE_BODY_BYTES {
+        record.expected_bodies(now) * BODY
+    } else {
+        0.0
+    };
+    let way = match candidate.locality {
+        Locality::Instance => 0.0,
+        Locality::DataCentre => before + bytes * NEAR_BYTE,
+        Locality::Remote => FAR + before + far_bytes(candidate),
     };
     held / slots * slowness * cold / answering + failing * FAILING + way
 }
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -53,7 +53,7 @@
 
 /// What the entry node knows of a call before an attempt.
 #[derive(Clone, Copy, Debug)]
-pub struct Moment {
+pub struct CallState {
     /// The moment of the decision.
     pub now: Time,
     /// When the time for the call is over.
@@ -61,7 +61,7 @@
     /// Whether the node was stopped since the call arrived, as far as it can tell.
     pub paused: bool,
     /// Whether the caller's connection is still open.
-    pub wanted: bool,
+    pub connected: bool,
 }
 
 /// Returns why no attempt makes sense any more, or nothing where one does.
@@ -71,27 +71,27 @@
 ///
 /// ```
 /// use model::time::Time;
-/// use policy::{outcome::Cause, retry::{Moment, hindrance}};
+/// use policy::{outcome::Cause, retry::{CallState, stop_cause}};
 /// let at = Time::from_millis;
-/// let moment = Moment { now: at(9), deadline: at(10), paused: false, wanted: true };
-/// assert_eq!(hindrance(moment), None);
-/// assert_eq!(hindrance(Moment { now: at(10), ..moment }), Some(Cause::Late));
+/// let moment = CallState { now: at(9), deadline: at(10), paused: false, connected: true };
+/// assert_eq!(stop_cause(moment), None);
+/// assert_eq!(stop_cause(CallState { now: at(10), ..moment }), Some(Cause::Late));
 /// ```
-pub fn hindrance(moment: Moment) -> Option<Cause> {
+pub fn stop_cause(moment: CallState) -> Option<Cause> {
     if moment.now >= moment.deadline {
         return Some(Cause::Late);
     }
     if moment.paused {
         return Some(Cause::Paused);
     }
-    (!moment.wanted).then_some(Cause::Cancelled)
+    (!moment.connected).then_some(Cause::Cancelled)
 }
 
 /// What to do after a failed attempt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Step {
     /// Offer the call to another upstream.
-    Again,
+    Retry,
     /// Tell the caller the outcome now.
     GiveUp,
 }
@@ -126,7 +126,7 @@
         return Step::GiveUp;
     }
     if !loads_upstream(attempt.outcome) || budget.spend() {
-        return Step::Again;
+        return Step::Retry;
     }
     cov_mark::hit!(retry_budget_spent);
     Step::GiveUp
@@ -139,11 +139,11 @@
 /// of the budget and tells whether there was one.
 ///
 /// ```
-/// use policy::{outcome::Cause, retry::{Attempt, Kind, Step, decide_arrivals}};
+/// use policy::{outcome::Cause, retry::{Attempt, Kind, Step, decide_reached}};
 /// let refused = Attempt { outcome: Cause::Overloaded.outcome(), kind: Kind::Once, made: 0, limit: 1 };
-/// assert_eq!(decide_arrivals(refused, || false), Step::Again);
+/// assert_eq!(decide_reached(refused, || false), Step::Retry);
 /// ```
-pub fn decide_arrivals(attempt: Attempt, spend: impl FnOnce() -> bool) -> Step {
+pub fn decide_reached(attempt: Attempt, spend: impl FnOnce() -> bool) -> Step {
     let safe = match attempt.outcome {
         Outcome::NotRun(cause, _) => is_curable(cause),
         Outcome::Unknown(_) => attempt.kind == Kind::Idempotent,
@@ -152,12 +152,12 @@
         return Step::GiveUp;
     }
     if attempt.made == 0 {
-        return Step::Again;
+        return Step::Retry;
     }
     if attempt.made >= attempt.limit || !spend() {
         return Step::GiveUp;
     }
-    Step::Again
+    Step::Retry
 }
 
 /// Most nodes that one call is offered to under such a budget, whether its upstream sees it or not.
@@ -178,7 +178,7 @@
 }
 
 /// Tells whether the upstream itself may have seen the call.
-pub fn is_arrival(outcome: Outcome) -> bool {
+pub fn may_have_reached_upstream(outcome: Outcome) -> bool {
     match outcome {
         Outcome::NotRun(cause, _) => matches!(cause, Cause::Refused | Cause::Replaced),
         Outcome::Unknown(_) => true,
@@ -194,13 +194,13 @@
 /// call that cannot be repeated gives its one attempt everything.
 ///
 /// ```
-/// use policy::retry::{Kind, attempt_time};
+/// use policy::retry::{Kind, attempt_timeout};
 /// use std::time::Duration;
 /// let second = Duration::from_secs(1);
-/// assert_eq!(attempt_time(second * 3, Kind::Idempotent, 0, 3), second);
-/// assert_eq!(attempt_time(second * 3, Kind::Once, 0, 3), second * 3);
+/// assert_eq!(attempt_timeout(second * 3, Kind::Idempotent, 0, 3), second);
+/// assert_eq!(attempt_timeout(second * 3, Kind::Once, 0, 3), second * 3);
 /// ```
-pub fn attempt_time(remaining: Duration, kind: Kind, made: u32, limit: u32) -> Duration {
+pub fn attempt_timeout(remaining: Duration, kind: Kind, made: u32, limit: u32) -> Duration {
     match kind {
         Kind::Idempotent => remaining / limit.saturating_sub(made).max(1),
         Kind::Once => remaining,
@@ -208,7 +208,7 @@
 }
 
 /// What holds of an attempt that has been silent so far.
-pub const SILENT: Outcome = Outcome::Unknown(Doubt::Timeout);
+pub const TIMED_OUT: Outcome = Outcome::Unknown(Doubt::Timeout);
 
 /// Share of failures from which on a silent upstream is thought to have lost the answer.
 ///
@@ -220,7 +220,7 @@
 
 /// What is known when a first attempt is made.
 #[derive(Clone, Copy, Debug)]
-pub struct Prospect {
+pub struct Hedge {
     /// Time that calls of the route take.
     pub latency: Estimate,
     /// How many times as long as usual calls to the upstream take.
@@ -240,25 +240,26 @@
 /// time.
 ///
 /// ```
-/// use policy::{latency::Estimate, retry::{Prospect, second_delay}};
+/// use policy::{latency::Estimate, retry::{Hedge, hedge_delay}};
 /// use std::time::Duration;
 /// let ms = Duration::from_millis;
-/// let sound = Prospect {
+/// let sound = Hedge {
 ///     latency: Estimate::new(ms(80)),
 ///     slowness: 1.0,
 ///     failure_share: 0.0,
 ///     due: ms(220),
 ///     remaining: ms(1_200),
 /// };
-/// assert_eq!(second_delay(sound), ms(240));
-/// assert_eq!(second_delay(Prospect { failure_share: 0.4, ..sound }), ms(140));
+/// assert_eq!(hedge_delay(sound), ms(240));
+/// assert_eq!(hedge_delay(Hedge { failure_share: 0.4, ..sound }), ms(140));
 /// ```
-pub fn second_delay(prospect: Prospect) -> Duration {
-    let Prospect { latency, slowness, failure_share, due, remaining } = prospect;
-    let unusual = latency.unusual().mul_f64(slowness.max(1.0));
-    let in_time = due.saturating_sub(latency.usual());
-    let losing = in_time.max(latency.usual().mul_f64(LOSING_LEAST));
-    let delay = if failure_share < LOSING { unusual } else { unusual.min(losing) };
+pub fn hedge_delay(prospect: Hedge) -> Duration {
+    let Hedge { latency, slowness, failure_share, due, remaining } = prospect;
+    let outlier_threshold = latency.outlier_threshold().mul_f64(slowness.max(1.0));
+    let in_time = due.saturating_sub(latency.mean());
+    let losing = in_time.max(latency.mean().mul_f64(LOSING_LEAST));
+    let delay =
+        if failure_share < LOSING { outlier_threshold } else { outlier_threshold.min(losing) };
     delay.min(remaining / 2)
 }
 
--- a/crates/policy/src/share.rs
+++ b/crates/policy/src/share.rs
@@ -7,25 +7,25 @@
 
 /// Room for calls in hand, in calls, and for bodies in hand, in bytes.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Room {
+pub struct Capacity {
     /// Most calls that a node holds at once.
     pub calls: usize,
     /// Most bytes of bodies that a node holds at once.
     pub bytes: usize,
 }
 
-impl Default for Room {
+impl Default for Capacity {
     fn default() -> Self {
-        Room { calls: 2_048, bytes: 128 << 20 }
+        Capacity { calls: 2_048, bytes: 128 << 20 }
     }
 }
 
-impl Room {
+impl Capacity {
     /// Tells whether a service with `own` calls in hand may take another while all services
     /// together have `total`.
     ///
     /// ```
-    /// let room = policy::share::Room { calls: 100, ..Default::default() };
+    /// let room = policy::share::Capacity { calls: 100, ..Default::default() };
     /// assert!(room.admits(49, 49));
     /// assert!(!room.admits(51, 51));
     /// assert!(room.admits(0, 51));
--- a/crates/policy/src/suspects.rs
+++ b/crates/policy/src/suspects.rs
@@ -34,16 +34,16 @@
 
 /// How the calls that the own upstream worked on ended lately.
 #[derive(Debug, Default)]
-pub struct Runs {
+pub struct History {
     lost: VecDeque<(Time, Loss, Suspect)>,
     answers: HashMap<Fingerprint, Time>,
     /// In the order of the answers, to forget the oldest first.
     order: VecDeque<(Time, Fingerprint)>,
 }
 
-impl Runs {
+impl History {
     /// Notes that the upstream answered a call.
-    pub fn answer(&mut self, request: Fingerprint, now: Time) {
+    pub fn record_answer(&mut self, request: Fingerprint, now: Time) {
         self.answers.insert(request, now);
         self.order.push_back((now, request));
         while let Some((at, oldest)) = self.order.front().copied() {
@@ -59,7 +59,7 @@
     }
 
     /// Notes that a call was lost.
-    pub fn lose(&mut self, suspect: Suspect, loss: Loss, now: Time) {
+    pub fn record_loss(&mut self, suspect: Suspect, loss: Loss, now: Time) {
         self.forget(now);
         if self.lost.len() == LOST_MOST {
             self.lost.pop_front();
@@ -87,14 +87,14 @@
     ///
     /// ```
     /// use model::{request::{Fingerprint, Suspect}, time::Time};
-    /// use policy::suspects::{Loss, Runs};
+    /// use policy::suspects::{Loss, History};
     /// let now = Time::from_millis(5);
-    /// let mut runs = Runs::default();
+    /// let mut history = History::default();
     /// let lost = Suspect { request: Fingerprint(7), label: "GET /".to_owned() };
-    /// runs.lose(lost.clone(), Loss::Broken, now);
-    /// assert_eq!(runs.end(now), [lost]);
+    /// history.record_loss(lost.clone(), Loss::Broken, now);
+    /// assert_eq!(history.take_suspects(now), [lost]);
     /// ```
-    pub fn end(&mut self, now: Time) -> Vec<Suspect> {
+    pub fn take_suspects(&mut self, now: Time) -> Vec<Suspect> {
         self.forget(now);
         let lost = std::mem::take(&mut self.lost);
         let mut suspects: Vec<Suspect> = lost.into_iter().map(|(_, _, suspect)| suspect).collect();
@@ -105,7 +105,7 @@
     }
 
     /// Notes that the upstream goes on after calls were broken off.
-    pub fn survive(&mut self) {
+    pub fn clear_broken(&mut self) {
         self.lost.retain(|(_, loss, _)| *loss == Loss::Abandoned);
     }
 
--- a/crates/policy/src/transfer.rs
+++ b/crates/policy/src/transfer.rs
@@ -9,7 +9,7 @@
 use model::time::Time;
 use std::time::Duration;
 
-use crate::{comeback::Attempt, urgency::Clock};
+use crate::{client_retry::Attempt, urgency::Timing};
 
 /// Part of its slack that the body of a first attempt may wait for its turn. The other half is for
 /// a second attempt, for crossing and for what takes longer than usual.
@@ -33,9 +33,9 @@
 /// Returns how many bodies may cross a link of `link_mbps` at a time; 0 stands for a fast one.
 ///
 /// ```
-/// assert_eq!(policy::transfer::lanes(5), 1);
+/// assert_eq!(policy::transfer::max_concurrent(5), 1);
 /// ```
-pub fn lanes(link_mbps: u32) -> usize {
+pub fn max_concurrent(link_mbps: u32) -> usize {
     match link_mbps {
         0 => BODIES_MOST,
         speed => (speed.div_ceil(MBPS_PER_BODY) as usize).min(BODIES_MOST),
@@ -53,9 +53,9 @@
 /// upstream was taken for dead.
 ///
 /// ```
-/// assert_eq!(policy::transfer::backlog(5).as_millis(), 157);
+/// assert_eq!(policy::transfer::queueing_delay(5).as_millis(), 157);
 /// ```
-pub fn backlog(link_mbps: u32) -> Duration {
+pub fn queueing_delay(link_mbps: u32) -> Duration {
     match link_mbps {
         0 => Duration::ZERO,
         speed => Duration::from_micros(BACKLOG_BYTES * 8 / u64::from(speed)),
@@ -63,12 +63,12 @@
 }
 
 /// Returns by when the body of a call must begin to cross.
-pub fn start_by(clock: Clock) -> Time {
+pub fn start_by(clock: Timing) -> Time {
     let slack = clock.slack();
     let wait = match clock.attempt {
         _ if slack.is_zero() => clock.objective.mul_f64(LATE_SHARE),
-        Attempt::Later => slack.mul_f64(LATER_SHARE),
-        Attempt::First | Attempt::Hasty => slack.mul_f64(FIRST_SHARE),
+        Attempt::Retry => slack.mul_f64(LATER_SHARE),
+        Attempt::First | Attempt::Early => slack.mul_f64(FIRST_SHARE),
     };
     clock.received + wait
 }
@@ -78,10 +78,10 @@
 ///
 /// ```
 /// use model::time::Time;
-/// use policy::transfer::start_crossed;
+/// use policy::transfer::start_after_transfer;
 /// let (now, deadline) = (Time::from_millis(300), Time::from_millis(1_100));
-/// assert_eq!(start_crossed(now, deadline), Time::from_millis(500));
+/// assert_eq!(start_after_transfer(now, deadline), Time::from_millis(500));
 /// ```
-pub fn start_crossed(now: Time, deadline: Time) -> Time {
+pub fn start_after_transfer(now: Time, deadline: Time) -> Time {
     now + deadline.since(now) / CROSSED_SHARE
 }
--- a/crates/policy/src/urgency.rs
+++ b/crates/policy/src/urgency.rs
@@ -11,8 +11,8 @@
 use std::time::Duration;
 
 use crate::{
-    admission::{Line, NESTED_WAIT_SHARE, Rank},
-    comeback::Attempt,
+    admission::{Class, NESTED_WAIT_SHARE, Rank},
+    client_retry::Attempt,
     latency::Estimate,
 };
 
@@ -54,12 +54,12 @@
     /// A caller's.
     Caller,
     /// That of a call on which an upstream works: without an answer that work is lost.
-    Upstream(Work),
+    Upstream(Parent),
 }
 
 /// A call on which an upstream works, as its own calls see it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Work {
+pub struct Parent {
     /// Rank under which it was let in.
     pub rank: Rank,
     /// Calls of it that were answered so far.
@@ -68,7 +68,7 @@
 
 /// What is known of a call's time.
 #[derive(Clone, Copy, Debug)]
-pub struct Clock {
+pub struct Timing {
     /// When this attempt arrived.
     pub received: Time,
     /// When its time is over.
@@ -80,24 +80,24 @@
     /// Time from the first attempt within which an answer is worth most.
     pub objective: Duration,
     /// Time that such calls usually take.
-    pub usual: Duration,
+    pub expected: Duration,
 }
 
-impl Clock {
+impl Timing {
     /// Returns when an answer becomes late.
     ///
     /// ```
     /// # use model::time::Time;
-    /// # use policy::{comeback::Attempt, urgency::Clock};
+    /// # use policy::{client_retry::Attempt, urgency::Timing};
     /// # use std::time::Duration;
     /// # let ms = Duration::from_millis;
-    /// let again = Clock {
+    /// let again = Timing {
     ///     received: Time::from_millis(1_000),
     ///     deadline: Time::from_millis(2_000),
-    ///     attempt: Attempt::Later,
+    ///     attempt: Attempt::Retry,
     ///     elapsed: ms(300),
     ///     objective: ms(400),
-    ///     usual: ms(80),
+    ///     expected: ms(80),
     /// };
     /// assert_eq!(again.due(), Time::from_millis(1_100));
     /// ```
@@ -106,14 +106,14 @@
     }
 
     /// Returns what is known at `now` of a call that was held since it arrived.
-    pub fn at(self, now: Time) -> Clock {
+    pub fn at(self, now: Time) -> Timing {
         let held = now.since(self.received);
-        Clock { received: self.received + held, elapsed: self.elapsed + held, ..self }
+        Timing { received: self.received + held, elapsed: self.elapsed + held, ..self }
     }
 
     /// Returns the time that may pass until the call begins if it is to meet its objective.
     pub(crate) fn slack(&self) -> Duration {
-        self.objective.saturating_sub(self.elapsed).saturating_sub(self.usual)
+        self.objective.saturating_sub(self.elapsed).saturating_sub(self.expected)
     }
 }
 
@@ -123,54 +123,54 @@
 /// Returns the time that calls of a route usually take, as far as their `latency` is known.
 ///
 /// ```
-/// use policy::{latency::Estimate, urgency::usual};
+/// use policy::{latency::Estimate, urgency::expected_time};
 /// use std::time::Duration;
 /// let ms = Duration::from_millis;
-/// assert_eq!(usual(Some(Estimate::new(ms(80))), ms(200)), ms(80));
-/// assert_eq!(usual(None, ms(200)), ms(100));
+/// assert_eq!(expected_time(Some(Estimate::new(ms(80))), ms(200)), ms(80));
+/// assert_eq!(expected_time(None, ms(200)), ms(100));
 /// ```
-pub fn usual(latency: Option<Estimate>, objective: Duration) -> Duration {
-    latency.map_or(objective / GUESS_SHARE, |latency| latency.usual())
+pub fn expected_time(latency: Option<Estimate>, objective: Duration) -> Duration {
+    latency.map_or(objective / GUESS_SHARE, |latency| latency.mean())
 }
 
 /// Returns a call's rank among those that wait for the same upstream.
 ///
 /// ```
 /// use model::time::Time;
-/// use policy::{comeback::Attempt, urgency::{Clock, Origin, rank}};
+/// use policy::{client_retry::Attempt, urgency::{Timing, Origin, rank}};
 /// use std::time::Duration;
 /// let ms = Duration::from_millis;
-/// let first = Clock {
+/// let first = Timing {
 ///     received: Time::default(),
 ///     deadline: Time::from_millis(1_200),
 ///     attempt: Attempt::First,
 ///     elapsed: ms(0),
 ///     objective: ms(200),
-///     usual: ms(80),
+///     expected: ms(80),
 /// };
-/// let late = Clock { elapsed: ms(300), ..first };
+/// let late = Timing { elapsed: ms(300), ..first };
 /// let of = |clock| rank(Origin::Caller, 1, clock).priority;
 /// assert!(of(first) < of(late));
 /// ```
-pub fn rank(origin: Origin, priority: u8, clock: Clock) -> Rank {
+pub fn rank(origin: Origin, priority: u8, clock: Timing) -> Rank {
     if let Origin::Upstream(work) = origin {
         return nested(work, clock);
     }
     let is_late = clock.slack().is_zero();
     let (step, share) = match clock.attempt {
         _ if is_late => (5, LATE_WAIT_SHARE),
-        Attempt::Later => (2, AGAIN_WAIT_SHARE),
+        Attempt::Retry => (2, AGAIN_WAIT_SHARE),
         Attempt::First => (3, FIRST_WAIT_SHARE),
         // Whoever repeats at once asks several times as often as the others; going after their
         // first attempts, it gets no larger share of the slots for that.
-        Attempt::Hasty => (4, FIRST_WAIT_SHARE),
+        Attempt::Early => (4, FIRST_WAIT_SHARE),
     };
     let usual = clock.objective / share;
     let wait = if is_late { usual } else { usual.min(clock.slack() / 2) };
     Rank {
         priority: place(priority, step),
         start_by: Some(clock.received + wait),
-        line: Line::Callers,
+        class: Class::External,
     }
 }
 
@@ -180,7 +180,7 @@
 /// of a higher priority from the service that both need. Within one priority, work that is begun goes
 /// before new work, and work that is further before that: where there is room for half of the calls,
 /// half of the work is done then, and not a part of everything that is then lost.
-fn nested(work: Work, clock: Clock) -> Rank {
+fn nested(work: Parent, clock: Timing) -> Rank {
     let left = clock.deadline.since(clock.received);
     let (step, wait) = match work.answered {
         0 => (1, (clock.objective / BEGUN_WAIT_SHARE).min(left / NESTED_WAIT_SHARE)),
@@ -190,7 +190,7 @@
     Rank {
         priority: place(urgency, step),
         start_by: Some(clock.received + wait),
-        line: Line::Upstreams,
+        class: Class::Nested,
     }
 }
 
@@ -204,7 +204,7 @@
 /// Within the first half of what is left until a call could no longer be in time, spread over all
 /// refused callers; one who cannot be in time any more comes as late as callers heed, to a calmer
 /// moment.
-pub fn comeback(clock: Clock, random: &mut impl Rng) -> Duration {
+pub fn retry_after(clock: Timing, random: &mut impl Rng) -> Duration {
     let slack = clock.slack();
     let share = random.random_range(0.25..0.6);
     if slack > COMEBACK_LEAST * 2 {
--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -1,7 +1,7 @@
 //! The gate never runs more calls than slots, loses no slot and keeps its queue short.
 
 use model::time::Time;
-use policy::admission::{Entry, Gate, Ticket};
+use policy::admission::{Decision, Limiter, Ticket};
 use quickcheck::{Arbitrary, Gen, QuickCheck, TestResult};
 use std::{collections::BTreeMap, time::Duration};
 
@@ -17,19 +17,19 @@
 /// 100 ms; compares the answers.
 #[track_caller]
 fn check(remaining: &[u64], expect: &[&str]) {
-    let mut gate = Gate::new(1);
-    assert_eq!(gate.arrive(Ticket(0), at(0), at(9_000), QUEUE), Entry::Run);
+    let mut gate = Limiter::new(1);
+    assert_eq!(gate.admit(Ticket(0), at(0), at(9_000), QUEUE), Decision::Run);
     for _ in 0..200 {
         gate.finish(Ticket(0), at(0), Some(Duration::from_millis(100)));
-        gate.arrive(Ticket(0), at(0), at(9_000), QUEUE);
+        gate.admit(Ticket(0), at(0), at(9_000), QUEUE);
     }
     let told: Vec<&str> = remaining
         .iter()
         .enumerate()
-        .map(|(i, &ms)| match gate.arrive(Ticket(i as u64 + 1), at(0), at(ms), QUEUE) {
-            Entry::Run => "run",
-            Entry::Wait(_) => "wait",
-            Entry::Refuse(_) => "refuse",
+        .map(|(i, &ms)| match gate.admit(Ticket(i as u64 + 1), at(0), at(ms), QUEUE) {
+            Decision::Run => "run",
+            Decision::Wait(_) => "wait",
+            Decision::Refuse(_) => "refuse",
         })
         .collect();
     assert_eq!(told, expect);
@@ -49,10 +49,10 @@
 #[test]
 fn a_freed_slot_passes_over_expired_calls() {
     cov_mark::check!(gate_drops_expired);
-    let mut gate = Gate::new(1);
-    gate.arrive(Ticket(1), at(0), at(900), QUEUE);
-    gate.arrive(Ticket(2), at(0), at(20), QUEUE);
-    gate.arrive(Ticket(3), at(0), at(900), QUEUE);
+    let mut gate = Limiter::new(1);
+    gate.admit(Ticket(1), at(0), at(900), QUEUE);
+    gate.admit(Ticket(2), at(0), at(20), QUEUE);
+    gate.admit(Ticket(3), at(0), at(900), QUEUE);
     assert_eq!(gate.finish(Ticket(1), at(30), None), Some(Ticket(3)));
     assert_eq!(gate.finish(Ticket(3), at(31), None), None);
     assert_eq!(gate.busy(), 0);
@@ -79,7 +79,7 @@
 
 /// Drives a gate and a plain list of what runs and waits side by side.
 fn agree(actions: Vec<Action>) -> TestResult {
-    let mut gate = Gate::new(SLOTS);
+    let mut gate = Limiter::new(SLOTS);
     let (mut now, mut next) = (0, 0);
     let mut running: Vec<Ticket> = Vec::new();
     let mut waiting: BTreeMap<u64, u64> = BTreeMap::new();
@@ -88,13 +88,13 @@
             Action::Arrive(ms) => {
                 next += 1;
                 let deadline = now + u64::from(ms);
-                match gate.arrive(Ticket(next), at(now), at(deadline), QUEUE) {
-                    Entry::Run => running.push(Ticket(next)),
-                    Entry::Wait(_) => drop(waiting.insert(next, deadline)),
-                    Entry::Refuse(after) if after.is_zero() => {
+                match gate.admit(Ticket(next), at(now), at(deadline), QUEUE) {
+                    Decision::Run => running.push(Ticket(next)),
+                    Decision::Wait(_) => drop(waiting.insert(next, deadline)),
+                    Decision::Refuse(after) if after.is_zero() => {
                         return TestResult::error("told to come back at once");
                     }
-                    Entry::Refuse(_) => {}
+                    Decision::Refuse(_) => {}
                 }
             }
             Action::Finish if !running.is_empty() => {
--- a/crates/policy/tests/budget.rs
+++ b/crates/policy/tests/budget.rs
@@ -13,7 +13,7 @@
 /// in any window of ten seconds, the service gets no more repeats than the fleet's bound.
 #[test]
 fn no_window_holds_more_than_the_bound() {
-    let settings = Settings { used: 1.0, ..Settings::default() };
+    let settings = Settings { usable_share: 1.0, ..Settings::default() };
     for seed in 0..10 {
         let mut random = SmallRng::seed_from_u64(seed);
         let nodes = 13;
@@ -26,9 +26,9 @@
                 continue;
             }
             let node = random.random_range(0..nodes);
-            windows[node].call(&settings, at(ms));
+            windows[node].record_call(&settings, at(ms));
             calls.push_back(ms);
-            if random.random_bool(0.5) && windows[node].repeat(&settings, nodes, at(ms)) {
+            if random.random_bool(0.5) && windows[node].try_retry(&settings, nodes, at(ms)) {
                 repeats.push_back(ms);
             }
             let old = |then: &u64| ms - then > 10_000;
@@ -50,19 +50,19 @@
 #[test]
 fn the_window_gives_back_what_has_left_it() {
     cov_mark::check!(window_spent);
-    let settings = Settings { slack: 13.0, used: 1.0, ..Settings::default() };
+    let settings = Settings { slack: 13.0, usable_share: 1.0, ..Settings::default() };
     let mut window = Window::default();
-    assert!(window.repeat(&settings, 13, at(0)));
-    assert!(!window.repeat(&settings, 13, at(9_000)));
-    assert!(window.repeat(&settings, 13, at(11_500)));
+    assert!(window.try_retry(&settings, 13, at(0)));
+    assert!(!window.try_retry(&settings, 13, at(9_000)));
+    assert!(window.try_retry(&settings, 13, at(11_500)));
 }
 
 #[test]
 fn a_part_is_kept_for_what_no_node_sees() {
     let settings = Settings { slack: 0.0, ..Settings::default() };
     let mut window = Window::default();
-    (0..100).for_each(|_| window.call(&settings, at(0)));
-    let granted = (0..100).filter(|_| window.repeat(&settings, 13, at(1))).count();
+    (0..100).for_each(|_| window.record_call(&settings, at(0)));
+    let granted = (0..100).filter(|_| window.try_retry(&settings, 13, at(1))).count();
     assert_eq!(granted, 12);
     assert_eq!(settings.window, Duration::from_secs(10));
 }
--- a/crates/policy/tests/choice.rs
+++ b/crates/policy/tests/choice.rs
@@ -35,8 +35,8 @@
     record
 }
 
-fn candidate(record: &Record, near: bool) -> Candidate<'_> {
-    Candidate { record, near, tried: false }
+fn candidate(record: &Record, local: bool) -> Candidate<'_> {
+    Candidate { record, local, tried: false }
 }
 
 /// Draws often and compares which candidates were ever chosen.
@@ -55,18 +55,18 @@
 fn the_own_data_centre_comes_first() {
     let (fine, out) = (seasoned(ms(1)), ejected());
     let (near, far) = (candidate(&fine, true), candidate(&fine, false));
-    check(&[far, near, near, far], Reach::Spill, &[1, 2]);
-    check(&[far, candidate(&out, true)], Reach::Spill, &[0]);
-    check(&[far, far], Reach::OwnOnly, &[]);
-    check(&[], Reach::Spill, &[]);
+    check(&[far, near, near, far], Reach::Failover, &[1, 2]);
+    check(&[far, candidate(&out, true)], Reach::Failover, &[0]);
+    check(&[far, far], Reach::LocalOnly, &[]);
+    check(&[], Reach::Failover, &[]);
 }
 
 #[test]
 fn an_upstream_already_tried_is_not_tried_again() {
     let fine = seasoned(ms(1));
     let tried = Candidate { tried: true, ..candidate(&fine, true) };
-    check(&[tried, candidate(&fine, true)], Reach::Spill, &[1]);
-    check(&[tried], Reach::Spill, &[]);
+    check(&[tried, candidate(&fine, true)], Reach::Failover, &[1]);
+    check(&[tried], Reach::Failover, &[]);
 }
 
 /// The buffet runs empty although all kitchens' upstreams are up: a short fault of the network had
@@ -75,8 +75,8 @@
 fn ejection_never_empties_a_service() {
     cov_mark::check!(choice_takes_ejected);
     let out = ejected();
-    check(&[candidate(&out, true)], Reach::OwnOnly, &[0]);
-    check(&[candidate(&out, false)], Reach::Spill, &[0]);
+    check(&[candidate(&out, true)], Reach::LocalOnly, &[0]);
+    check(&[candidate(&out, false)], Reach::Failover, &[0]);
 }
 
 /// Returns the share of draws that choose the first of two candidates.
@@ -86,7 +86,8 @@
     let mut count = 0;
     for _ in 0..DRAWS {
         let candidates: Vec<Candidate<'_>> = records.iter().map(|r| candidate(r, true)).collect();
-        let chosen = choose(&candidates, Reach::OwnOnly, Kind::Once, SLOW_START, now, &mut random);
+        let chosen =
+            choose(&candidates, Reach::LocalOnly, Kind::Once, SLOW_START, now, &mut random);
         let chosen = chosen.expect("there are two");
         count += usize::from(chosen == 0);
         records[chosen].begin();
@@ -141,7 +142,7 @@
     record.begin();
     record.end(at(1_000), Sample::Unreachable);
     let able = |record: &Record, now| {
-        (record.is_able(Kind::Once, at(now)), record.is_able(Kind::Idempotent, at(now)))
+        (record.accepts(Kind::Once, at(now)), record.accepts(Kind::Idempotent, at(now)))
     };
     assert_eq!(able(&record, 1_400), (false, false));
     assert_eq!(able(&record, 1_600), (false, true));
@@ -160,7 +161,7 @@
 fn a_silent_upstream_is_avoided_at_once_and_not_for_ever() {
     let mut silent = seasoned(ms(2));
     silent.begin();
-    assert_eq!(silent.end(at(9_000), Sample::Silent(ms(600))), Change::None);
+    assert_eq!(silent.end(at(9_000), Sample::TimedOut(ms(600))), Change::None);
     assert!(share(&silent, &seasoned(ms(2)), at(9_001)) < 0.05);
     let later = silent.latency(at(60_000)).expect("it has one");
     assert!(later < ms(1), "{later:?}");
--- a/crates/policy/tests/claim.rs
+++ b/crates/policy/tests/claim.rs
@@ -2,30 +2,30 @@
 
 use model::time::Time;
 use policy::{
-    claim::{Facts, deadline, refusal},
+    claim::{Conditions, deadline, refusal},
     outcome::Cause,
-    pause::{Settings, Watch},
+    pause::{Detector, Settings},
 };
 
 fn at(ms: u64) -> Time {
     Time::from_millis(ms)
 }
 
-fn good() -> Facts {
-    Facts {
+fn good() -> Conditions {
+    Conditions {
         now: at(10),
         deadline: at(100),
         paused: false,
-        wanted: true,
+        connected: true,
         leaving: false,
-        own: true,
+        current_incarnation: true,
         evacuated: false,
         quarantined: false,
     }
 }
 
 #[track_caller]
-fn check(facts: Facts, expect: Option<Cause>) {
+fn check(facts: Conditions, expect: Option<Cause>) {
     assert_eq!(refusal(facts), expect, "{facts:?}");
 }
 
@@ -39,13 +39,13 @@
     cov_mark::check!(claim_leaving);
     cov_mark::check!(claim_replaced);
     check(good(), None);
-    check(Facts { now: at(99), ..good() }, None);
-    check(Facts { now: at(100), ..good() }, Some(Cause::Late));
-    check(Facts { paused: true, ..good() }, Some(Cause::Paused));
-    check(Facts { wanted: false, ..good() }, Some(Cause::Cancelled));
-    check(Facts { leaving: true, ..good() }, Some(Cause::Leaving));
-    check(Facts { own: false, ..good() }, Some(Cause::Replaced));
-    check(Facts { evacuated: true, ..good() }, Some(Cause::Evacuated));
+    check(Conditions { now: at(99), ..good() }, None);
+    check(Conditions { now: at(100), ..good() }, Some(Cause::Late));
+    check(Conditions { paused: true, ..good() }, Some(Cause::Paused));
+    check(Conditions { connected: false, ..good() }, Some(Cause::Cancelled));
+    check(Conditions { leaving: true, ..good() }, Some(Cause::Leaving));
+    check(Conditions { current_incarnation: false, ..good() }, Some(Cause::Replaced));
+    check(Conditions { evacuated: true, ..good() }, Some(Cause::Evacuated));
 }
 
 #[test]
@@ -58,11 +58,11 @@
 /// Runs beats at the given times, then asks about a request.
 #[track_caller]
 fn check_pause(beats: &[u64], received: u64, now: u64, expect: bool) {
-    let mut watch = Watch::new(Settings::default(), at(0));
+    let mut watch = Detector::new(Settings::default(), at(0));
     beats.iter().for_each(|&beat| {
-        watch.beat(at(beat));
+        watch.tick(at(beat));
     });
-    assert_eq!(watch.in_doubt(at(received), at(now)), expect);
+    assert_eq!(watch.may_be_stale(at(received), at(now)), expect);
 }
 
 #[test]
--- a/crates/policy/tests/drain.rs
+++ b/crates/policy/tests/drain.rs
@@ -1,6 +1,6 @@
 //! A planned stop ends, and not in the midst of calls.
 
-use policy::drain::{Plan, Progress, Step, next};
+use policy::drain::{Plan, Progress, Step, next_step};
 use std::time::Duration;
 
 const PLAN: Plan = Plan { close: ms(2_000), limit: ms(4_000) };
@@ -12,7 +12,7 @@
 #[track_caller]
 fn check(elapsed: u64, closed: Option<u64>, idle: u64, expect: Step) {
     let progress = Progress { elapsed: ms(elapsed), closed: closed.map(ms), idle: ms(idle) };
-    assert_eq!(next(PLAN, progress), expect);
+    assert_eq!(next_step(PLAN, progress), expect);
 }
 
 #[test]
@@ -62,5 +62,5 @@
 fn a_limit_before_the_close_closes_too() {
     let plan = Plan { close: ms(3_000), limit: ms(1_000) };
     let progress = Progress { elapsed: ms(1_000), closed: None, idle: ms(0) };
-    assert_eq!(next(plan, progress), Step::Close);
+    assert_eq!(next_step(plan, progress), Step::Close);
 }
--- a/crates/policy/tests/health.rs
+++ b/crates/policy/tests/health.rs
@@ -33,7 +33,7 @@
 
 #[test]
 fn only_silence_tells_a_time() {
-    check(Outcome::Unknown(Doubt::Timeout), Sample::Silent(TIME));
+    check(Outcome::Unknown(Doubt::Timeout), Sample::TimedOut(TIME));
     check(Outcome::Unknown(Doubt::Broken), Sample::Failed);
     check(Outcome::Unknown(Doubt::BadAnswer), Sample::Failed);
 }
--- a/crates/policy/tests/latency.rs
+++ b/crates/policy/tests/latency.rs
@@ -1,10 +1,10 @@
 //! What is usual for the calls of a route, and how long silence is borne.
 
 use policy::{
-    comeback::Attempt,
+    client_retry::Attempt,
     latency::Estimate,
-    retry::{Prospect, second_delay},
-    urgency::{self, Clock, Origin},
+    retry::{Hedge, hedge_delay},
+    urgency::{self, Origin, Timing},
 };
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
 use std::time::Duration;
@@ -28,7 +28,7 @@
 
 fn learnt(times: &[Duration]) -> Estimate {
     let mut latency = Estimate::new(times[0]);
-    times.iter().for_each(|time| latency.note(*time));
+    times.iter().for_each(|time| latency.record(*time));
     latency
 }
 
@@ -37,19 +37,19 @@
 /// as late before they began.
 #[test]
 fn a_lookup_beside_uploads_is_not_late_before_it_begins() {
-    let of = |usual| {
-        let clock = Clock {
+    let of = |expected| {
+        let clock = Timing {
             received: Time::default(),
             deadline: Time::from_millis(800),
             attempt: Attempt::First,
             elapsed: ms(0),
             objective: ms(300),
-            usual,
+            expected,
         };
         urgency::rank(Origin::Caller, 1, clock).priority
     };
     let lookups = learnt(&times(80.0, 0.8, 500));
-    assert!(of(lookups.usual()) < of(ms(400)), "{lookups:?}");
+    assert!(of(lookups.mean()) < of(ms(400)), "{lookups:?}");
 }
 
 /// Overload lasts longer than it must: one call in six of a route with uneven times was thought lost
@@ -62,30 +62,30 @@
         let mut latency = Estimate::new(times[0]);
         let mut doubled = 0;
         for time in &times {
-            let prospect = Prospect {
+            let prospect = Hedge {
                 latency,
                 slowness: 1.0,
                 failure_share: 0.0,
                 due: ms(300),
                 remaining: ms(60_000),
             };
-            doubled += usize::from(*time > second_delay(prospect));
-            latency.note(*time);
+            doubled += usize::from(*time > hedge_delay(prospect));
+            latency.record(*time);
         }
         assert!(doubled * 100 <= times.len() * 4, "{doubled} of {} at {spread}", times.len());
     }
 }
 
 #[track_caller]
-fn check(prospect: Prospect, expect: Duration) {
-    assert_eq!(second_delay(prospect), expect);
+fn check(prospect: Hedge, expect: Duration) {
+    assert_eq!(hedge_delay(prospect), expect);
 }
 
 /// Lookups come late one after the other: an upstream runs them and loses the answers, and each time
 /// the second attempt is made when it can only be late.
 #[test]
 fn an_upstream_that_loses_answers_is_given_less_time() {
-    let sound = Prospect {
+    let sound = Hedge {
         latency: Estimate::new(ms(100)),
         slowness: 1.0,
         failure_share: 0.1,
@@ -93,10 +93,10 @@
         remaining: ms(2_000),
     };
     check(sound, ms(300));
-    check(Prospect { failure_share: 0.2, ..sound }, ms(300));
-    check(Prospect { failure_share: 0.2, due: ms(280), ..sound }, ms(180));
-    check(Prospect { failure_share: 0.2, due: ms(50), ..sound }, ms(150));
-    check(Prospect { slowness: 3.0, ..sound }, ms(900));
-    check(Prospect { slowness: 0.5, ..sound }, ms(300));
-    check(Prospect { remaining: ms(200), ..sound }, ms(100));
+    check(Hedge { failure_share: 0.2, ..sound }, ms(300));
+    check(Hedge { failure_share: 0.2, due: ms(280), ..sound }, ms(180));
+    check(Hedge { failure_share: 0.2, due: ms(50), ..sound }, ms(150));
+    check(Hedge { slowness: 3.0, ..sound }, ms(900));
+    check(Hedge { slowness: 0.5, ..sound }, ms(300));
+    check(Hedge { remaining: ms(200), ..sound }, ms(100));
 }
--- a/crates/policy/tests/outcome.rs
+++ b/crates/policy/tests/outcome.rs
@@ -10,7 +10,7 @@
 
 #[track_caller]
 fn check(step: Step, expect: [Told; 4]) {
-    let losses = [Loss::Refusal(Cause::Refused), Loss::Closed, Loss::Silent, Loss::Garbled];
+    let losses = [Loss::Refusal(Cause::Refused), Loss::Closed, Loss::Timeout, Loss::Malformed];
     let told = losses.map(|loss| match of_loss(step, loss) {
         Outcome::NotRun(..) => Told::NotRun,
         Outcome::Unknown(_) => Told::Unknown,
--- a/crates/policy/tests/placement.rs
+++ b/crates/policy/tests/placement.rs
@@ -3,7 +3,7 @@
 use model::time::Time;
 use policy::{
     health::{Load, Record, Sample},
-    placement::{Candidate, Cold, Way, choose},
+    placement::{Candidate, Cold, Locality, choose},
     retry::Kind,
 };
 use rand::{SeedableRng, rngs::SmallRng};
@@ -21,19 +21,19 @@
     record.begin();
     record.end(at(10_000), Sample::Answered(Duration::from_millis(latency_ms)));
     // Enough calls that the average is theirs, beside others of the route that take 80 ms.
-    (0..30).for_each(|_| record.compare(latency_ms as f64 / 80.0, at(10_000)));
-    record.hear_load(Load { busy: others, ..Load::default() }, at(10_000));
+    (0..30).for_each(|_| record.record_slowness(latency_ms as f64 / 80.0, at(10_000)));
+    record.update_load(Load { busy: others, ..Load::default() }, at(10_000));
     record
 }
 
-fn candidate(record: &Record, way: Way) -> Candidate<'_> {
+fn candidate(record: &Record, locality: Locality) -> Candidate<'_> {
     Candidate {
         record,
         slots: 10,
-        way,
+        locality,
         tried: false,
-        crossing: 0,
-        returning: 0,
+        request_bytes: 0,
+        response_bytes: 0,
         cold: Cold::No,
         refusals: 0,
     }
@@ -59,13 +59,14 @@
 #[test]
 fn the_emptier_upstream_is_taken() {
     let (idle, busy) = (record(80, 1), record(80, 8));
-    check(&[candidate(&busy, Way::Near), candidate(&idle, Way::Near)], 1);
+    check(&[candidate(&busy, Locality::DataCentre), candidate(&idle, Locality::DataCentre)], 1);
 }
 
 #[test]
 fn equal_upstreams_share_the_calls() {
     let (a, b) = (record(80, 4), record(80, 4));
-    let shares = shares(&[candidate(&a, Way::Near), candidate(&b, Way::Near)]);
+    let shares =
+        shares(&[candidate(&a, Locality::DataCentre), candidate(&b, Locality::DataCentre)]);
     assert!(shares.iter().all(|&share| share > 40), "{shares:?}");
 }
 
@@ -74,9 +75,9 @@
 #[test]
 fn work_spills_over_before_a_queue_forms() {
     let (near, far) = (record(80, 9), record(80, 3));
-    check(&[candidate(&near, Way::Near), candidate(&far, Way::Far)], 1);
+    check(&[candidate(&near, Locality::DataCentre), candidate(&far, Locality::Remote)], 1);
     let (near, far) = (record(80, 4), record(80, 3));
-    check(&[candidate(&near, Way::Near), candidate(&far, Way::Far)], 0);
+    check(&[candidate(&near, Locality::DataCentre), candidate(&far, Locality::Remote)], 0);
 }
 
 /// Lookups cross between data centres by the thousand although there is room near by: their requests
@@ -85,9 +86,9 @@
 #[test]
 fn calls_with_large_answers_stay_near_for_longer() {
     let (near, far) = (record(80, 8), record(80, 1));
-    for (returning, expect) in [(0, 1), (400, 1), (5_000, 0)] {
-        let near = Candidate { returning, ..candidate(&near, Way::Near) };
-        let far = Candidate { returning, ..candidate(&far, Way::Far) };
+    for (response_bytes, expect) in [(0, 1), (400, 1), (5_000, 0)] {
+        let near = Candidate { response_bytes, ..candidate(&near, Locality::DataCentre) };
+        let far = Candidate { response_bytes, ..candidate(&far, Locality::Remote) };
         check(&[near, far], expect);
     }
 }
@@ -98,8 +99,12 @@
 fn a_refusal_makes_other_data_centres_nearer() {
     let (near, far) = (record(80, 9), record(80, 3));
     for (refusals, expect) in [(0, 0), (1, 0), (3, 1)] {
-        let of = |record, way| Candidate { returning: 5_000, refusals, ..candidate(record, way) };
-        check(&[of(&near, Way::Near), of(&far, Way::Far)], expect);
+        let of = |record, locality| Candidate {
+            response_bytes: 5_000,
+            refusals,
+            ..candidate(record, locality)
+        };
+        check(&[of(&near, Locality::DataCentre), of(&far, Locality::Remote)], expect);
     }
 }
 
@@ -108,24 +113,24 @@
 #[test]
 fn no_body_is_too_large_to_leave_a_long_queue() {
     let (near, far) = (record(80, 25), record(80, 0));
-    let near = Candidate { crossing: 400_000, ..candidate(&near, Way::Own) };
-    let far = Candidate { crossing: 400_000, ..candidate(&far, Way::Far) };
+    let near = Candidate { request_bytes: 400_000, ..candidate(&near, Locality::Instance) };
+    let far = Candidate { request_bytes: 400_000, ..candidate(&far, Locality::Remote) };
     check(&[near, far], 1);
 }
 
 #[test]
 fn large_bodies_stay_near_for_longer() {
     let (near, far) = (record(80, 9), record(80, 3));
-    let near = Candidate { crossing: 60_000, ..candidate(&near, Way::Near) };
-    let far = Candidate { crossing: 60_000, ..candidate(&far, Way::Far) };
+    let near = Candidate { request_bytes: 60_000, ..candidate(&near, Locality::DataCentre) };
+    let far = Candidate { request_bytes: 60_000, ..candidate(&far, Locality::Remote) };
     check(&[near, far], 0);
 }
 
 #[test]
 fn a_large_body_stays_on_its_instance_while_there_is_room() {
     let (own, near) = (record(80, 4), record(80, 2));
-    let own = Candidate { crossing: 60_000, ..candidate(&own, Way::Own) };
-    let near = Candidate { crossing: 60_000, ..candidate(&near, Way::Near) };
+    let own = Candidate { request_bytes: 60_000, ..candidate(&own, Locality::Instance) };
+    let near = Candidate { request_bytes: 60_000, ..candidate(&near, Locality::DataCentre) };
     check(&[own, near], 0);
 }
 
@@ -134,7 +139,7 @@
 #[test]
 fn a_slow_upstream_gets_less() {
     let (slow, fast) = (record(400, 1), record(80, 4));
-    check(&[candidate(&slow, Way::Near), candidate(&fast, Way::Near)], 1);
+    check(&[candidate(&slow, Locality::DataCentre), candidate(&fast, Locality::DataCentre)], 1);
 }
 
 /// An upstream fails half of its calls at once, with a good health check: it answers fast, is
@@ -145,22 +150,22 @@
     for i in 0..20 {
         failing.begin();
         let ms = Duration::from_millis(10);
-        let sample = if i % 2 == 0 { Sample::Erred(ms) } else { Sample::Answered(ms) };
+        let sample = if i % 2 == 0 { Sample::ErrorAnswer(ms) } else { Sample::Answered(ms) };
         failing.end(at(10_000), sample);
     }
     assert!((0.3..0.7).contains(&failing.failure_share(at(10_000))));
     let sound = record(10, 2);
-    check(&[candidate(&failing, Way::Near), candidate(&sound, Way::Near)], 1);
+    check(&[candidate(&failing, Locality::DataCentre), candidate(&sound, Locality::DataCentre)], 1);
 }
 
 #[test]
 fn a_cold_upstream_gets_some_and_less() {
     let (cold, warm) = (record(80, 3), record(80, 3));
-    let cold = Candidate { cold: Cold::Slow, ..candidate(&cold, Way::Near) };
-    check(&[cold, candidate(&warm, Way::Near)], 1);
+    let cold = Candidate { cold: Cold::Slow, ..candidate(&cold, Locality::DataCentre) };
+    check(&[cold, candidate(&warm, Locality::DataCentre)], 1);
     let idle = record(80, 0);
-    let idle = Candidate { cold: Cold::Slow, ..candidate(&idle, Way::Near) };
-    check(&[idle, candidate(&warm, Way::Near)], 0);
+    let idle = Candidate { cold: Cold::Slow, ..candidate(&idle, Locality::DataCentre) };
+    check(&[idle, candidate(&warm, Locality::DataCentre)], 0);
 }
 
 #[test]
@@ -169,9 +174,9 @@
     let mut out = record(80, 0);
     out.begin();
     out.end(at(9_900), Sample::Unreachable);
-    check(&[candidate(&out, Way::Near), candidate(&sound, Way::Near)], 1);
-    let tried = Candidate { tried: true, ..candidate(&sound, Way::Near) };
-    check(&[tried, candidate(&out, Way::Near)], 1);
+    check(&[candidate(&out, Locality::DataCentre), candidate(&sound, Locality::DataCentre)], 1);
+    let tried = Candidate { tried: true, ..candidate(&sound, Locality::DataCentre) };
+    check(&[tried, candidate(&out, Locality::DataCentre)], 1);
     let mut random = SmallRng::seed_from_u64(5);
     assert_eq!(choose(&[tried], Kind::Once, at(10_000), &mut random), None);
 }
@@ -194,13 +199,13 @@
         out.end(at(9_900), Sample::Unreachable);
     }
     assert!(out.is_ejected(at(10_000)));
-    out.pardon(at(10_000));
+    out.reinstate(at(10_000));
     assert!(!out.is_ejected(at(10_000)));
     let mut failing = record(80, 0);
     for _ in 0..3 {
         failing.begin();
         failing.end(at(9_900), Sample::Failed);
     }
-    failing.pardon(at(10_000));
+    failing.reinstate(at(10_000));
     assert!(failing.is_ejected(at(10_000)));
 }
--- a/crates/policy/tests/retry.rs
+++ b/crates/policy/tests/retry.rs
@@ -3,8 +3,8 @@
 use model::time::Time;
 use policy::{
     outcome::{Cause, Doubt, Outcome},
-    retry::{Attempt, Budget, Kind, Moment, Step, decide, hindrance},
-    share::Room,
+    retry::{Attempt, Budget, CallState, Kind, Step, decide, stop_cause},
+    share::Capacity,
 };
 use std::time::Duration;
 
@@ -27,13 +27,13 @@
 #[test]
 fn a_call_that_may_have_run_is_repeated_only_if_idempotent() {
     cov_mark::check!(retry_unsafe);
-    check(Outcome::Unknown(Doubt::Broken), Step::GiveUp, Step::Again);
-    check(Outcome::Unknown(Doubt::Timeout), Step::GiveUp, Step::Again);
-    check(Outcome::Unknown(Doubt::BadAnswer), Step::GiveUp, Step::Again);
-    check(not_run(Cause::Unreachable), Step::Again, Step::Again);
-    check(not_run(Cause::Leaving), Step::Again, Step::Again);
-    check(not_run(Cause::Overloaded), Step::Again, Step::Again);
-    check(not_run(Cause::Paused), Step::Again, Step::Again);
+    check(Outcome::Unknown(Doubt::Broken), Step::GiveUp, Step::Retry);
+    check(Outcome::Unknown(Doubt::Timeout), Step::GiveUp, Step::Retry);
+    check(Outcome::Unknown(Doubt::BadAnswer), Step::GiveUp, Step::Retry);
+    check(not_run(Cause::Unreachable), Step::Retry, Step::Retry);
+    check(not_run(Cause::Leaving), Step::Retry, Step::Retry);
+    check(not_run(Cause::Overloaded), Step::Retry, Step::Retry);
+    check(not_run(Cause::Paused), Step::Retry, Step::Retry);
 }
 
 #[test]
@@ -60,7 +60,7 @@
     for _ in 0..calls {
         budget.earn(10);
         let failed = attempt(Outcome::Unknown(Doubt::Timeout), Kind::Idempotent);
-        extra += u32::from(decide(failed, &mut budget) == Step::Again);
+        extra += u32::from(decide(failed, &mut budget) == Step::Retry);
     }
     assert!(extra <= calls / 10 + 10, "{extra} retries of {calls} calls");
 }
@@ -72,14 +72,14 @@
     while budget.spend() {}
     let free = attempt(not_run(Cause::Unreachable), Kind::Once);
     let paid = attempt(not_run(Cause::Overloaded), Kind::Once);
-    assert_eq!(decide(free, &mut budget), Step::Again);
+    assert_eq!(decide(free, &mut budget), Step::Retry);
     assert_eq!(decide(paid, &mut budget), Step::GiveUp);
 }
 
 /// A healthy service is refused because another one's upstreams hang and hold the whole node.
 #[test]
 fn a_hanging_service_leaves_room_for_others() {
-    let room = Room { calls: 100, ..Room::default() };
+    let room = Capacity { calls: 100, ..Capacity::default() };
     let mut hanging = 0;
     while room.admits(hanging, hanging) {
         hanging += 1;
@@ -94,8 +94,8 @@
 }
 
 #[track_caller]
-fn check_moment(moment: Moment, expect: Option<Cause>) {
-    assert_eq!(hindrance(moment), expect, "{moment:?}");
+fn check_moment(moment: CallState, expect: Option<Cause>) {
+    assert_eq!(stop_cause(moment), expect, "{moment:?}");
 }
 
 /// A caller gives up while its call is tried at one upstream after the other, and the last one runs
@@ -103,13 +103,13 @@
 #[test]
 fn nothing_is_tried_for_who_has_gone_or_has_no_time_left() {
     let at = Time::from_millis;
-    let good = Moment { now: at(99), deadline: at(100), paused: false, wanted: true };
-    let late = Moment { now: at(100), ..good };
-    let paused = Moment { paused: true, ..good };
+    let good = CallState { now: at(99), deadline: at(100), paused: false, connected: true };
+    let late = CallState { now: at(100), ..good };
+    let paused = CallState { paused: true, ..good };
     check_moment(good, None);
     check_moment(late, Some(Cause::Late));
     check_moment(paused, Some(Cause::Paused));
-    check_moment(Moment { wanted: false, ..good }, Some(Cause::Cancelled));
-    check_moment(Moment { paused: true, wanted: false, ..late }, Some(Cause::Late));
-    check_moment(Moment { wanted: false, ..paused }, Some(Cause::Paused));
+    check_moment(CallState { connected: false, ..good }, Some(Cause::Cancelled));
+    check_moment(CallState { paused: true, connected: false, ..late }, Some(Cause::Late));
+    check_moment(CallState { connected: false, ..paused }, Some(Cause::Paused));
 }
--- a/crates/policy/tests/shares.rs
+++ b/crates/policy/tests/shares.rs
@@ -15,9 +15,9 @@
 
 use model::time::Time;
 use policy::{
-    admission::{Entry, Gate, Line, Rank, Ticket},
-    comeback::Attempt,
-    urgency::{Clock, Origin, Work, rank},
+    admission::{Class, Decision, Limiter, Rank, Ticket},
+    client_retry::Attempt,
+    urgency::{Origin, Parent, Timing, rank},
 };
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
 use std::{
@@ -50,18 +50,18 @@
 /// Returns the rank of a call that arrives at `now`: an upload of a caller, or the first check of a
 /// lookup of less urgency.
 fn rank_of(kind: Kind, now: Time) -> (Rank, Time) {
-    let clock = |objective, deadline| Clock {
+    let clock = |objective, deadline| Timing {
         received: now,
         deadline: now + ms(deadline),
         attempt: Attempt::First,
         elapsed: Duration::ZERO,
         objective: ms(objective),
-        usual: ms(objective / 4),
+        expected: ms(objective / 4),
     };
     let lookup = rank(Origin::Caller, 2, clock(400, 1_000));
     let (origin, priority, clock) = match kind {
         Kind::Upload => (Origin::Caller, 1, clock(500, 1_200)),
-        Kind::Check => (Origin::Upstream(Work { rank: lookup, answered: 0 }), 2, clock(120, 400)),
+        Kind::Check => (Origin::Upstream(Parent { rank: lookup, answered: 0 }), 2, clock(120, 400)),
     };
     (rank(origin, priority, clock), clock.deadline)
 }
@@ -70,7 +70,7 @@
 /// of checks that got a slot.
 fn play(uploads: f64, checks: f64, seed: u64) -> (f64, f64) {
     let mut random = SmallRng::seed_from_u64(seed);
-    let mut gate = Gate::new(SLOTS);
+    let mut gate = Limiter::new(SLOTS);
     let mut events = BinaryHeap::new();
     for (kind, load, time) in [(Kind::Upload, uploads, UPLOAD_MS), (Kind::Check, checks, CHECK_MS)]
     {
@@ -90,8 +90,8 @@
                 kinds.push(kind);
                 counts.entry(kind).or_insert((0, 0)).0 += 1;
                 let (rank, deadline) = rank_of(kind, at);
-                let entry = gate.arrive_ranked(ticket, rank, at, deadline, 64);
-                (entry == Entry::Run).then_some(ticket)
+                let entry = gate.admit_ranked(ticket, rank, at, deadline, 64);
+                (entry == Decision::Run).then_some(ticket)
             }
             Event::Finish(ticket) => {
                 let time =
@@ -150,23 +150,23 @@
 /// by its urgency after that; among themselves the more urgent go first.
 #[test]
 fn the_half_counts_what_is_held() {
-    let mut gate = Gate::new(4);
+    let mut gate = Limiter::new(4);
     let now = Time::from_millis(0);
-    let rank = |line, priority| Rank { priority, start_by: None, line };
-    let mut arrive = |ticket, line, priority| {
-        gate.arrive_ranked(Ticket(ticket), rank(line, priority), now, Time::from_millis(9_000), 64)
+    let rank = |class, priority| Rank { priority, start_by: None, class };
+    let mut admit = |ticket, class, priority| {
+        gate.admit_ranked(Ticket(ticket), rank(class, priority), now, Time::from_millis(9_000), 64)
     };
     for ticket in 0..4 {
-        assert_eq!(arrive(ticket, Line::Callers, 9), Entry::Run);
+        assert_eq!(admit(ticket, Class::External, 9), Decision::Run);
     }
     let waiting = [
-        (4, Line::Callers, 9),
-        (5, Line::Upstreams, 13),
-        (6, Line::Upstreams, 12),
-        (7, Line::Upstreams, 12),
+        (4, Class::External, 9),
+        (5, Class::Nested, 13),
+        (6, Class::Nested, 12),
+        (7, Class::Nested, 12),
     ];
-    for (ticket, line, priority) in waiting {
-        assert!(matches!(arrive(ticket, line, priority), Entry::Wait(_)));
+    for (ticket, class, priority) in waiting {
+        assert!(matches!(admit(ticket, class, priority), Decision::Wait(_)));
     }
     let order: Vec<u64> =
         (0..4).filter_map(|held| gate.finish(Ticket(held), now, None)).map(|t| t.0).collect();
@@ -182,26 +182,26 @@
 fn a_short_check_waits_for_the_next_of_few_slots() {
     const LONG_MS: u64 = 190;
     let slots = 6;
-    let mut gate = Gate::new(slots);
+    let mut gate = Limiter::new(slots);
     let at = Time::from_millis;
     let ticket = |n: u64| Ticket(n);
     let mut now = 0;
     // The gate learns how long calls take.
     for n in 0..100 {
         now += LONG_MS;
-        gate.arrive(ticket(n), at(now), at(now + 9_000), 64);
+        gate.admit(ticket(n), at(now), at(now + 9_000), 64);
         gate.finish(ticket(n), at(now), Some(Duration::from_millis(LONG_MS)));
     }
     for n in 100..100 + slots as u64 {
-        assert_eq!(gate.arrive(ticket(n), at(now), at(now + 9_000), 64), Entry::Run);
+        assert_eq!(gate.admit(ticket(n), at(now), at(now + 9_000), 64), Decision::Run);
     }
-    let check = Rank { priority: 1, start_by: Some(at(now + 30)), line: Line::Upstreams };
-    let entry = gate.arrive_ranked(ticket(200), check, at(now), at(now + 400), 64);
-    let Entry::Wait(until) = entry else { panic!("{entry:?}") };
+    let check = Rank { priority: 1, start_by: Some(at(now + 30)), class: Class::Nested };
+    let entry = gate.admit_ranked(ticket(200), check, at(now), at(now + 400), 64);
+    let Decision::Wait(until) = entry else { panic!("{entry:?}") };
     assert!(until > at(now + LONG_MS / slots as u64), "{until:?}");
     assert!(until <= at(now + 400 / 3 + 1), "{until:?}");
     // A second one would wait for too long, whatever its deadline.
-    let third = gate.arrive_ranked(ticket(201), check, at(now), at(now + 60), 64);
-    assert!(matches!(third, Entry::Refuse(_)), "{third:?}");
+    let third = gate.admit_ranked(ticket(201), check, at(now), at(now + 60), 64);
+    assert!(matches!(third, Decision::Refuse(_)), "{third:?}");
     assert_eq!(gate.finish(ticket(100), at(now + 32), None), Some(ticket(200)));
 }
--- a/crates/policy/tests/suspects.rs
+++ b/crates/policy/tests/suspects.rs
@@ -4,7 +4,7 @@
     request::{Fingerprint, Suspect},
     time::Time,
 };
-use policy::suspects::{Loss, Runs};
+use policy::suspects::{History, Loss};
 
 enum Step {
     Answer(u64),
@@ -22,17 +22,17 @@
 /// Plays steps at their times, in ms, and compares the suspects of an end at `end`.
 #[track_caller]
 fn check(steps: &[(u64, Step)], end: u64, expect: &[u64]) {
-    let mut runs = Runs::default();
+    let mut runs = History::default();
     for (at, step) in steps {
         let now = Time::from_millis(*at);
         match step {
-            Answer(request) => runs.answer(Fingerprint(*request), now),
-            Lose(request, loss) => runs.lose(suspect(*request), *loss, now),
-            Survive => runs.survive(),
+            Answer(request) => runs.record_answer(Fingerprint(*request), now),
+            Lose(request, loss) => runs.record_loss(suspect(*request), *loss, now),
+            Survive => runs.clear_broken(),
         }
     }
     let expect: Vec<Suspect> = expect.iter().copied().map(suspect).collect();
-    assert_eq!(runs.end(Time::from_millis(end)), expect);
+    assert_eq!(runs.take_suspects(Time::from_millis(end)), expect);
 }
 
 #[test]
@@ -67,12 +67,12 @@
 
 #[test]
 fn what_is_remembered_is_bounded() {
-    let mut runs = Runs::default();
+    let mut runs = History::default();
     for request in 0..100_000 {
-        runs.lose(suspect(request), Broken, Time::from_millis(5));
-        runs.answer(Fingerprint(request + 1_000_000), Time::from_millis(5));
+        runs.record_loss(suspect(request), Broken, Time::from_millis(5));
+        runs.record_answer(Fingerprint(request + 1_000_000), Time::from_millis(5));
     }
     let is_known = |n: u64| runs.was_answered(Fingerprint(n + 1_000_000), Time::from_millis(6));
     assert!((0..100_000).filter(|n| is_known(*n)).count() <= 2_048);
-    assert!(runs.end(Time::from_millis(6)).len() <= 256);
+    assert!(runs.take_suspects(Time::from_millis(6)).len() <= 256);
 }
--- a/crates/policy/tests/transfer.rs
+++ b/crates/policy/tests/transfer.rs
@@ -5,13 +5,13 @@
 
 use model::time::Time;
 use policy::{
-    admission::{Entry, Gate, Rank, Ticket},
-    comeback::Attempt,
+    admission::{Decision, Limiter, Rank, Ticket},
+    client_retry::Attempt,
     health::{Load, Record, Sample},
-    placement::{self, Candidate, Cold, Way},
+    placement::{self, Candidate, Cold, Locality},
     retry::Kind,
     transfer,
-    urgency::{self, Clock, Origin},
+    urgency::{self, Origin, Timing},
 };
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
 use std::{cmp::Reverse, collections::BinaryHeap, time::Duration};
@@ -30,22 +30,22 @@
     Time::from_millis(ms)
 }
 
-fn first(received: u64) -> Clock {
-    Clock {
+fn first(received: u64) -> Timing {
+    Timing {
         received: at(received),
         deadline: at(received + 4_000),
         attempt: Attempt::First,
         elapsed: ms(0),
         objective: ms(OBJECTIVE_MS),
-        usual: ms(CROSSING_MS + WORK_MS),
+        expected: ms(CROSSING_MS + WORK_MS),
     }
 }
 
 /// Plays `load` times what the links can carry for a minute; returns the shares of uploads that
 /// found a link and those whose answer is in time.
-fn play(load: f64, start_by: fn(Clock) -> Time) -> (f64, f64) {
+fn play(load: f64, start_by: fn(Timing) -> Time) -> (f64, f64) {
     let mut random = SmallRng::seed_from_u64(11);
-    let mut gates: Vec<Gate> = (0..LINKS).map(|_| Gate::new(1)).collect();
+    let mut gates: Vec<Limiter> = (0..LINKS).map(|_| Limiter::new(1)).collect();
     let mut ends: BinaryHeap<(Reverse<u64>, usize, u64)> = BinaryHeap::new();
     let mut begun = Vec::new();
     let (mut taken, mut in_time) = (0, 0);
@@ -71,11 +71,11 @@
         for _ in 0..OFFERS {
             let link = random.random_range(0..LINKS);
             let entry =
-                gates[link].arrive_ranked(ticket, rank, at(arrived), at(arrived + 4_000), 16);
+                gates[link].admit_ranked(ticket, rank, at(arrived), at(arrived + 4_000), 16);
             match entry {
-                Entry::Refuse(_) => continue,
-                Entry::Wait(_) => {}
-                Entry::Run => {
+                Decision::Refuse(_) => continue,
+                Decision::Wait(_) => {}
+                Decision::Run => {
                     ends.push((Reverse(arrived + CROSSING_MS), link, ticket.0));
                     in_time += 1;
                 }
@@ -109,22 +109,22 @@
 }
 
 #[track_caller]
-fn check(clock: Clock, wait_ms: u64) {
+fn check(clock: Timing, wait_ms: u64) {
     assert_eq!(transfer::start_by(clock), clock.received + ms(wait_ms));
 }
 
 #[test]
 fn a_body_may_wait_for_a_part_of_the_slack() {
     check(first(0), 330);
-    check(Clock { attempt: Attempt::Later, elapsed: ms(400), ..first(0) }, 195);
-    check(Clock { attempt: Attempt::Later, elapsed: ms(900), ..first(0) }, 125);
+    check(Timing { attempt: Attempt::Retry, elapsed: ms(400), ..first(0) }, 195);
+    check(Timing { attempt: Attempt::Retry, elapsed: ms(900), ..first(0) }, 125);
 }
 
 #[test]
 fn slow_links_carry_one_body_at_a_time() {
     let expect = [(0, 32), (5, 1), (25, 1), (26, 2), (100, 4), (10_000, 32)];
-    for (mbps, lanes) in expect {
-        assert_eq!(transfer::lanes(mbps), lanes, "{mbps}");
+    for (mbps, max_concurrent) in expect {
+        assert_eq!(transfer::max_concurrent(mbps), max_concurrent, "{mbps}");
     }
 }
 
@@ -133,7 +133,7 @@
 #[test]
 fn who_is_called_over_a_busy_link_gets_time_to_answer() {
     for (mbps, backlog_ms) in [(0, 0), (5, 157), (100, 7), (1_000, 0)] {
-        assert_eq!(transfer::backlog(mbps).as_millis(), backlog_ms, "{mbps}");
+        assert_eq!(transfer::queueing_delay(mbps).as_millis(), backlog_ms, "{mbps}");
     }
 }
 
@@ -144,23 +144,23 @@
         let mut record = Record::new(at(0));
         record.begin();
         record.end(at(9_000), Sample::Answered(ms(300)));
-        record.hear_load(Load { busy: 3, waiting: 0, bodies }, at(9_000));
+        record.update_load(Load { busy: 3, waiting: 0, bodies }, at(9_000));
         record
     };
     let (busy, free) = (told(3), told(0));
-    let of = |record, crossing| Candidate {
+    let of = |record, request_bytes| Candidate {
         record,
         slots: 9,
-        way: Way::Near,
+        locality: Locality::DataCentre,
         tried: false,
-        crossing,
-        returning: 0,
+        request_bytes,
+        response_bytes: 0,
         cold: Cold::No,
         refusals: 0,
     };
     let mut random = SmallRng::seed_from_u64(1);
-    let mut share = |crossing| {
-        let candidates = [of(&busy, crossing), of(&free, crossing)];
+    let mut share = |request_bytes| {
+        let candidates = [of(&busy, request_bytes), of(&free, request_bytes)];
         let mut choose = || placement::choose(&candidates, Kind::Once, at(9_000), &mut random);
         (0..100).filter(|_| choose() == Some(1)).count()
     };
--- a/crates/policy/tests/urgency.rs
+++ b/crates/policy/tests/urgency.rs
@@ -6,10 +6,10 @@
 
 use model::time::Time;
 use policy::{
-    admission::{Entry, Gate, Ticket},
-    comeback,
+    admission::{Decision, Limiter, Ticket},
+    client_retry,
     split::Split,
-    urgency::{Clock, Origin, Work, comeback, rank},
+    urgency::{Origin, Parent, Timing, rank, retry_after},
 };
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
 use std::{collections::BinaryHeap, collections::HashMap, time::Duration};
@@ -28,14 +28,18 @@
 const SLOTS: usize = 11;
 const ATTEMPTS: usize = 3;
 
-fn clock(now: u64, begun: u64) -> Clock {
-    Clock {
+fn clock(now: u64, begun: u64) -> Timing {
+    Timing {
         received: at(now),
         deadline: at(begun + DEADLINE),
-        attempt: if now > begun { comeback::Attempt::Later } else { comeback::Attempt::First },
+        attempt: if now > begun {
+            client_retry::Attempt::Retry
+        } else {
+            client_retry::Attempt::First
+        },
         elapsed: ms(now - begun),
         objective: ms(OBJECTIVE),
-        usual: ms(SERVICE),
+        expected: ms(SERVICE),
     }
 }
 
@@ -70,7 +74,7 @@
 /// Plays `load` times the calls that the slots can take, for ten seconds.
 fn play(load: f64, seed: u64) -> Tally {
     let mut random = SmallRng::seed_from_u64(seed);
-    let mut gate = Gate::new(SLOTS);
+    let mut gate = Limiter::new(SLOTS);
     let mut events = BinaryHeap::new();
     let push = |events: &mut BinaryHeap<_>, when: u64, event| {
         events.push((std::cmp::Reverse(when), event));
@@ -97,10 +101,10 @@
                 attempts.insert(ticket, Attempt { caller, attempt, arrived: now });
                 let clock = clock(now, begun[caller]);
                 let rank = rank(Origin::Caller, 2, clock);
-                match gate.arrive_ranked(Ticket(ticket), rank, at(now), clock.deadline, 64) {
-                    Entry::Run => run.push(ticket),
-                    Entry::Refuse(_) => refused.push(ticket),
-                    Entry::Wait(until) => {
+                match gate.admit_ranked(Ticket(ticket), rank, at(now), clock.deadline, 64) {
+                    Decision::Run => run.push(ticket),
+                    Decision::Refuse(_) => refused.push(ticket),
+                    Decision::Wait(until) => {
                         waiting.insert(ticket, ());
                         push(&mut events, until.millis(), Event::Expire { ticket });
                     }
@@ -145,7 +149,7 @@
                 tally.refused += 1;
                 continue;
             }
-            let after = comeback(clock(now, begun[attempt.caller]), &mut random);
+            let after = retry_after(clock(now, begun[attempt.caller]), &mut random);
             let again = Event::Arrive { caller: attempt.caller, attempt: attempt.attempt + 1 };
             push(&mut events, now + after.as_millis() as u64, again);
         }
@@ -192,7 +196,7 @@
     let urgent = rank(Origin::Caller, 0, clock(0, 0));
     let usual = rank(Origin::Caller, 2, clock(0, 0));
     let late = rank(Origin::Caller, 2, clock(900, 0));
-    let made_for = |rank, answered| Origin::Upstream(Work { rank, answered });
+    let made_for = |rank, answered| Origin::Upstream(Parent { rank, answered });
     let further = rank(made_for(usual, 1), 7, clock(500, 0));
     let nested = rank(made_for(usual, 0), 7, clock(500, 0));
     let of_urgent = rank(made_for(urgent, 0), 7, clock(500, 0));
@@ -200,15 +204,15 @@
     let ranks = [of_urgent, urgent, further, nested, usual, late].map(|rank| rank.priority);
     assert!(ranks.is_sorted_by(|a, b| a < b), "{ranks:?}");
     assert_eq!(deeper.priority, nested.priority);
-    let mut gate = Gate::new(1);
-    let arrive = |gate: &mut Gate, ticket, rank| {
-        gate.arrive_ranked(Ticket(ticket), rank, at(0), at(9_000), 64)
+    let mut gate = Limiter::new(1);
+    let admit = |gate: &mut Limiter, ticket, rank| {
+        gate.admit_ranked(Ticket(ticket), rank, at(0), at(9_000), 64)
     };
-    assert_eq!(arrive(&mut gate, 0, usual), Entry::Run);
+    assert_eq!(admit(&mut gate, 0, usual), Decision::Run);
     for (ticket, rank) in
         [(1, late), (2, usual), (3, nested), (4, urgent), (5, further), (6, of_urgent)]
     {
-        assert!(matches!(arrive(&mut gate, ticket, rank), Entry::Wait(_)));
+        assert!(matches!(admit(&mut gate, ticket, rank), Decision::Wait(_)));
     }
     let ended = [0, 6, 5, 3, 4, 2];
     let order = ended.map(|held| gate.finish(Ticket(held), at(1), None).map(|t| t.0));
@@ -219,9 +223,9 @@
 fn a_refused_caller_comes_back_while_it_can_be_in_time() {
     let mut random = SmallRng::seed_from_u64(2);
     for _ in 0..200 {
-        let early = comeback(clock(10, 0), &mut random);
+        let early = retry_after(clock(10, 0), &mut random);
         assert!(early >= ms(15) && ms(10 + SERVICE) + early < ms(OBJECTIVE), "{early:?}");
-        let late = comeback(clock(300, 0), &mut random);
+        let late = retry_after(clock(300, 0), &mut random);
         assert!(late > ms(100) && late < ms((DEADLINE - 300) / 3), "{late:?}");
     }
 }
@@ -246,9 +250,9 @@
 
 #[test]
 fn a_larger_upstream_in_the_same_place_lets_waiting_calls_run() {
-    let mut gate = Gate::new(1);
+    let mut gate = Limiter::new(1);
     for ticket in 0..4 {
-        gate.arrive(Ticket(ticket), at(0), at(9_000), 64);
+        gate.admit(Ticket(ticket), at(0), at(9_000), 64);
     }
     assert_eq!(gate.resize(3, at(1)), [Ticket(1), Ticket(2)]);
     assert_eq!(gate.resize(1, at(1)), []);
--- a/crates/policy/tests/warmup.rs
+++ b/crates/policy/tests/warmup.rs
@@ -2,7 +2,7 @@
 
 use model::{service::WarmUp, time::Time};
 use policy::{
-    admission::{Entry, Gate, Line, Rank, Ticket},
+    admission::{Class, Decision, Limiter, Rank, Ticket},
     warmup::{Excess, Limit},
 };
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
@@ -43,13 +43,13 @@
 fn no_second_holds_more_calls_than_a_cold_upstream_bears() {
     for seed in 0..40 {
         let mut random = SmallRng::seed_from_u64(seed);
-        let mut gate = Gate::new(SLOTS);
+        let mut gate = Limiter::new(SLOTS);
         let mut running: VecDeque<(u64, Ticket, bool)> = VecDeque::new();
         let mut reached = Vec::new();
         let mut next_ticket = 0;
         for now in 0..6_000 {
             gate.set_warm_up(limit(6_000), at(now));
-            let mut granted = gate.release(at(now));
+            let mut granted = gate.grant_waiting(at(now));
             running.make_contiguous().sort_by_key(|run| run.0);
             while running.front().is_some_and(|run| run.0 <= now) {
                 let (_, ticket, reaches) = running.pop_front().expect("it is there");
@@ -59,7 +59,7 @@
             if random.random_bool(0.2) {
                 next_ticket += 1;
                 let ticket = Ticket(next_ticket);
-                if gate.arrive(ticket, at(now), at(now + 600), QUEUE) == Entry::Run {
+                if gate.admit(ticket, at(now), at(now + 600), QUEUE) == Decision::Run {
                     granted.push(ticket);
                 }
             }
@@ -82,26 +82,26 @@
 /// it sent.
 #[test]
 fn a_node_that_starts_has_one_token() {
-    let mut gate = Gate::new(SLOTS);
+    let mut gate = Limiter::new(SLOTS);
     gate.set_warm_up(eleven_a_second(3_000), at(0));
-    assert_eq!(gate.arrive(Ticket(1), at(0), at(900), QUEUE), Entry::Run);
-    assert!(matches!(gate.arrive(Ticket(2), at(0), at(900), QUEUE), Entry::Wait(_)));
+    assert_eq!(gate.admit(Ticket(1), at(0), at(900), QUEUE), Decision::Run);
+    assert!(matches!(gate.admit(Ticket(2), at(0), at(900), QUEUE), Decision::Wait(_)));
     let token = gate.next_token(at(0)).expect("a call waits for a token");
     assert!((90..=91).contains(&token.millis()), "{token:?}");
-    assert_eq!(gate.release(at(92)), [Ticket(2)]);
+    assert_eq!(gate.grant_waiting(at(92)), [Ticket(2)]);
 }
 
 /// Guards against callers who wait for a token that comes too late for them.
 #[test]
 fn a_call_that_gets_no_token_in_time_is_refused_at_once() {
-    let mut gate = Gate::new(SLOTS);
+    let mut gate = Limiter::new(SLOTS);
     gate.set_warm_up(eleven_a_second(3_000), at(0));
     let rank = Rank { start_by: Some(at(300)), ..Rank::default() };
-    let mut entries = (0..6).map(|n| gate.arrive_ranked(Ticket(n), rank, at(0), at(900), QUEUE));
-    assert_eq!(entries.next(), Some(Entry::Run));
-    assert!(entries.by_ref().take(3).all(|entry| matches!(entry, Entry::Wait(_))));
+    let mut entries = (0..6).map(|n| gate.admit_ranked(Ticket(n), rank, at(0), at(900), QUEUE));
+    assert_eq!(entries.next(), Some(Decision::Run));
+    assert!(entries.by_ref().take(3).all(|entry| matches!(entry, Decision::Wait(_))));
     for entry in entries {
-        let Entry::Refuse(after) = entry else { panic!("{entry:?}") };
+        let Decision::Refuse(after) = entry else { panic!("{entry:?}") };
         assert!(after >= Duration::from_millis(300), "{after:?}");
     }
 }
@@ -109,34 +109,35 @@
 /// Guards against calls that go on waiting for tokens once the upstream is warm.
 #[test]
 fn what_waits_goes_once_the_upstream_is_warm() {
-    let mut gate = Gate::new(SLOTS);
+    let mut gate = Limiter::new(SLOTS);
     gate.set_warm_up(limit(200), at(0));
     for n in 0..5 {
-        gate.arrive(Ticket(n), at(0), at(900), QUEUE);
+        gate.admit(Ticket(n), at(0), at(900), QUEUE);
     }
     assert_eq!(gate.waiting(), 4);
-    assert_eq!(gate.release(at(199)).len(), 2);
-    assert_eq!(gate.release(at(200)).len(), 2);
+    assert_eq!(gate.grant_waiting(at(199)).len(), 2);
+    assert_eq!(gate.grant_waiting(at(200)).len(), 2);
 }
 
 /// Guards against a limit that lets the least urgent calls take the few tokens.
 #[test]
 fn urgent_calls_get_tokens_first() {
-    let mut gate = Gate::new(SLOTS);
+    let mut gate = Limiter::new(SLOTS);
     gate.set_warm_up(limit(3_000), at(0));
-    gate.arrive(Ticket(0), at(0), at(900), QUEUE);
+    gate.admit(Ticket(0), at(0), at(900), QUEUE);
     let later = Rank { priority: 9, ..Rank::default() };
-    let nested = Rank { priority: 9, line: Line::Upstreams, ..Rank::default() };
-    gate.arrive_ranked(Ticket(1), later, at(0), at(900), QUEUE);
-    gate.arrive_ranked(Ticket(2), Rank::default(), at(0), at(900), QUEUE);
-    gate.arrive_ranked(Ticket(3), nested, at(0), at(900), QUEUE);
-    let order: Vec<Ticket> = [100, 200, 300].iter().flat_map(|&ms| gate.release(at(ms))).collect();
+    let nested = Rank { priority: 9, class: Class::Nested, ..Rank::default() };
+    gate.admit_ranked(Ticket(1), later, at(0), at(900), QUEUE);
+    gate.admit_ranked(Ticket(2), Rank::default(), at(0), at(900), QUEUE);
+    gate.admit_ranked(Ticket(3), nested, at(0), at(900), QUEUE);
+    let order: Vec<Ticket> =
+        [100, 200, 300].iter().flat_map(|&ms| gate.grant_waiting(at(ms))).collect();
     assert_eq!(order, [Ticket(3), Ticket(2), Ticket(1)]);
 }
 
 /// An upstream that crashes where a second holds more calls than it bears while cold.
 struct Upstream {
-    gate: Gate,
+    gate: Limiter,
     /// When it is up again; it is cold from then.
     up: u64,
     warm: u64,
@@ -168,7 +169,7 @@
     let mut random = SmallRng::seed_from_u64(7);
     let mut upstreams: Vec<Upstream> = (0..UPSTREAMS)
         .map(|_| Upstream {
-            gate: Gate::new(SLOTS),
+            gate: Limiter::new(SLOTS),
             up: 0,
             warm: 3_000,
             reached: Vec::new(),
@@ -215,7 +216,7 @@
             let next = self.gate.finish(ticket, at(now), Some(Duration::from_millis(CALL)));
             next.into_iter().for_each(|ticket| self.run(ticket, now));
         }
-        for ticket in self.gate.release(at(now)) {
+        for ticket in self.gate.grant_waiting(at(now)) {
             self.run(ticket, now);
         }
     }
@@ -225,10 +226,10 @@
         if now < self.up {
             return false;
         }
-        match self.gate.arrive(ticket, at(now), at(now + 600), QUEUE) {
-            Entry::Run => self.run(ticket, now),
-            Entry::Wait(_) => {}
-            Entry::Refuse(_) => return false,
+        match self.gate.admit(ticket, at(now), at(now + 600), QUEUE) {
+            Decision::Run => self.run(ticket, now),
+            Decision::Wait(_) => {}
+            Decision::Refuse(_) => return false,
         }
         true
     }
@@ -238,7 +239,7 @@
         let is_cold = now < self.warm;
         let last = self.reached.iter().filter(|&&t| t + SECOND > now).count();
         if is_cold && last > BOUND {
-            self.gate = Gate::new(SLOTS);
+            self.gate = Limiter::new(SLOTS);
             self.running.clear();
             self.reached.clear();
             self.up = now + 2_000;
--- a/crates/standins/src/served/callers.rs
+++ b/crates/standins/src/served/callers.rs
@@ -2,9 +2,9 @@
 
 use model::time::Time;
 use policy::{
-    comeback::Attempt,
+    client_retry::Attempt,
     retry::Kind,
-    urgency::{self, Clock},
+    urgency::{self, Timing},
 };
 use rand::RngExt;
 use std::time::Duration;
@@ -89,15 +89,15 @@
     fn comeback(&mut self, key: CallKey) -> Duration {
         let (call, route) = (&self.calls[key.0], self.route(key));
         let usual = self.entries[call.entry].latencies[call.route];
-        let clock = Clock {
+        let clock = Timing {
             received: self.now,
             deadline: call.deadline,
             attempt: Attempt::First,
             elapsed: self.now.since(call.begun),
             objective: route.objective,
-            usual: usual.map_or(route.objective / 2, |latency| latency.usual()),
+            expected: usual.map_or(route.objective / 2, |latency| latency.mean()),
         };
-        urgency::comeback(clock, &mut self.random)
+        urgency::retry_after(clock, &mut self.random)
     }
 
     fn come_back(&mut self, key: CallKey, refusals: u32, after: Duration) {
--- a/crates/standins/src/served/choice.rs
+++ b/crates/standins/src/served/choice.rs
@@ -3,7 +3,7 @@
 use model::time::Time;
 use policy::{
     health::Record,
-    placement::{self, Candidate, Way},
+    placement::{self, Candidate, Locality},
     retry::Kind,
 };
 use rand::rngs::SmallRng;
@@ -14,7 +14,7 @@
 pub(super) struct Seen<'a> {
     pub(super) record: &'a Record,
     pub(super) slots: usize,
-    pub(super) way: Way,
+    pub(super) locality: Locality,
     pub(super) tried: bool,
 }
 
@@ -41,14 +41,14 @@
 }
 
 fn candidate<'a>(seen: &Seen<'a>) -> Candidate<'a> {
-    let Seen { record, slots, way, tried } = *seen;
+    let Seen { record, slots, locality, tried } = *seen;
     Candidate {
         record,
         slots,
-        way,
+        locality,
         tried,
-        crossing: 0,
-        returning: 0,
+        request_bytes: 0,
+        response_bytes: 0,
         cold: placement::Cold::No,
         refusals: 0,
     }
--- a/crates/standins/src/served/parts.rs
+++ b/crates/standins/src/served/parts.rs
@@ -2,7 +2,7 @@
 
 use model::time::Time;
 use policy::{
-    admission::{Gate, Rank},
+    admission::{Limiter, Rank},
     budget::Window,
     health::{Load, Record},
     latency::Estimate,
@@ -113,7 +113,7 @@
     pub(super) place: usize,
     pub(super) data_centre: usize,
     pub(super) speed: f64,
-    pub(super) gate: Gate,
+    pub(super) gate: Limiter,
 }
 
 /// An entry node, beside the upstream of the same index.
@@ -135,7 +135,7 @@
                 place,
                 data_centre: place % settings.data_centres.max(1),
                 speed: speed.copied().unwrap_or(1.0),
-                gate: Gate::new(service.slots),
+                gate: Limiter::new(service.slots),
             });
         }
     }
--- a/crates/standins/src/served/world.rs
+++ b/crates/standins/src/served/world.rs
@@ -4,15 +4,15 @@
 
 use model::time::Time;
 use policy::{
-    admission::{Entry, Line, Rank, Ticket},
+    admission::{Class, Decision, Rank, Ticket},
     budget::Window,
-    comeback::Attempt,
+    client_retry::Attempt,
     health::{Load, Record, Sample},
     latency::Estimate,
     outcome::{Cause, Doubt, Outcome},
-    placement::Way,
-    retry::{self, Kind, Prospect},
-    urgency::{self, Clock, Origin, Work},
+    placement::Locality,
+    retry::{self, Hedge, Kind},
+    urgency::{self, Origin, Parent, Timing},
 };
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
 use std::{cmp::Reverse, collections::BinaryHeap, time::Duration};
@@ -151,16 +151,16 @@
         call.received = now;
         let deadline = call.deadline;
         let node = &mut self.entries[call.entry];
-        node.windows[route.service].call(&self.settings.budget, now);
-        let usual =
-            node.latencies[call.route].map_or(route.objective / 2, |latency| latency.usual());
-        let clock = Clock {
+        node.windows[route.service].record_call(&self.settings.budget, now);
+        let expected =
+            node.latencies[call.route].map_or(route.objective / 2, |latency| latency.mean());
+        let clock = Timing {
             received: now,
             deadline,
-            attempt: if call.attempt > 1 && is_known { Attempt::Later } else { Attempt::First },
+            attempt: if call.attempt > 1 && is_known { Attempt::Retry } else { Attempt::First },
             elapsed: now.since(call.begun),
             objective: route.objective,
-            usual,
+            expected,
         };
         call.rank = match self.settings.way.order {
             Order::Ranked => {
@@ -176,7 +176,7 @@
     fn origin(&self, key: CallKey) -> Origin {
         let Some(parent) = self.calls[key.0].parent else { return Origin::Caller };
         let Offer { call, answered, .. } = self.offers[parent.0];
-        Origin::Upstream(Work { rank: self.calls[call.0].rank, answered })
+        Origin::Upstream(Parent { rank: self.calls[call.0].rank, answered })
     }
 
     /// Offers a call to the next upstream, or ends it where none is left.
@@ -201,10 +201,10 @@
             .map(|&u| Seen {
                 record: &node.records[u],
                 slots: self.settings.services[route.service].slots,
-                way: match &self.upstreams[u] {
-                    _ if u == call.entry => Way::Own,
-                    other if other.data_centre == own.data_centre => Way::Near,
-                    _ => Way::Far,
+                locality: match &self.upstreams[u] {
+                    _ if u == call.entry => Locality::Instance,
+                    other if other.data_centre == own.data_centre => Locality::DataCentre,
+                    _ => Locality::Remote,
                 },
                 tried: call.offers.iter().any(|o| self.offers[o.0].upstream == u),
             })
@@ -256,7 +256,7 @@
         }
         let record = &self.entries[call.entry].records[upstream];
         let due = (call.begun + route.objective).since(self.now);
-        Some(retry::second_delay(Prospect {
+        Some(retry::hedge_delay(Hedge {
             latency: self.entries[call.entry].latencies[call.route]
                 .unwrap_or(Estimate::new(due / 3)),
             slowness: record.slowness(self.now),
@@ -274,10 +274,10 @@
         }
         let (rank, deadline) = (call.rank, call.deadline);
         let gate = &mut self.upstreams[offer.upstream].gate;
-        match gate.arrive_ranked(Ticket(key.0 as u64), rank, self.now, deadline, QUEUE_LIMIT) {
-            Entry::Run => self.start(key),
-            Entry::Refuse(_) => self.tell(key, Word::Refused),
-            Entry::Wait(until) => {
+        match gate.admit_ranked(Ticket(key.0 as u64), rank, self.now, deadline, QUEUE_LIMIT) {
+            Decision::Run => self.start(key),
+            Decision::Refuse(_) => self.tell(key, Word::Refused),
+            Decision::Wait(until) => {
                 self.offers[key.0].state = State::Waiting;
                 self.put(until.since(self.now), Due::Expire(key));
             }
@@ -406,7 +406,7 @@
         self.observe(call, upstream, word, took);
         let entry = self.calls[call.0].entry;
         if !self.lacks(Mechanism::Load) {
-            self.entries[entry].records[upstream].hear_load(load, self.now);
+            self.entries[entry].records[upstream].update_load(load, self.now);
         }
         self.calls[call.0].open -= 1;
         self.calls[call.0].unknown |= word == Word::Failed;
@@ -424,7 +424,7 @@
         let EntryNode { records, latencies, .. } = &mut self.entries[entry];
         let sample = match word {
             Word::Answered => Sample::Answered(took),
-            Word::Failed if sees_failures => Sample::Erred(took),
+            Word::Failed if sees_failures => Sample::ErrorAnswer(took),
             Word::Failed => Sample::Answered(took),
             Word::Refused => Sample::Refused,
         };
@@ -434,9 +434,9 @@
         }
         let latency = latencies[route].get_or_insert(Estimate::new(took));
         if compares {
-            records[upstream].compare(latency.ratio(took), self.now);
+            records[upstream].record_slowness(latency.ratio(took), self.now);
         }
-        latency.note(took);
+        latency.record(took);
     }
 
     /// Offers a call again whose last offer failed, or ends it.
@@ -464,8 +464,8 @@
         let nodes = self.entries.len();
         let window = &mut self.entries[call.entry].windows[route.service];
         let budget = &self.settings.budget;
-        let step = retry::decide_arrivals(attempt, || window.repeat(budget, nodes, self.now));
-        step == retry::Step::Again
+        let step = retry::decide_reached(attempt, || window.try_retry(budget, nodes, self.now));
+        step == retry::Step::Retry
     }
 
     fn double(&mut self, key: OfferKey) {
@@ -475,7 +475,7 @@
             return;
         }
         let Some(second) = self.choose(call) else { return };
-        if self.may_repeat(call, retry::SILENT) {
+        if self.may_repeat(call, retry::TIMED_OUT) {
             self.send(call, second);
         }
     }
@@ -526,7 +526,7 @@
 /// Returns `rank` as it is without a mechanism.
 fn adjust(without: Option<Mechanism>, rank: Rank) -> Rank {
     match without {
-        Some(Mechanism::Half) => Rank { line: Line::Callers, ..rank },
+        Some(Mechanism::Half) => Rank { class: Class::External, ..rank },
         Some(Mechanism::Priority) => Rank { priority: 0, ..rank },
         Some(Mechanism::ShortWaits) => Rank { start_by: None, ..rank },
         _ => rank,
--- a/crates/traffic/src/entry.rs
+++ b/crates/traffic/src/entry.rs
@@ -46,7 +46,7 @@
             Err(outcome) => outcome,
         };
         let address = upstream.address;
-        arrivals += u32::from(retry::is_arrival(outcome));
+        arrivals += u32::from(retry::may_have_reached_upstream(outcome));
         last = outcome.after(last);
         if next_step(hub, call, outcome, tried.len(), arrivals) == retry::Step::GiveUp {
             return Err(last);
@@ -70,13 +70,13 @@
 /// such calls.
 fn lost_meanwhile(hub: &Hub, call: &Call<'_>) -> Option<Outcome> {
     let now = hub.clock.now();
-    let moment = retry::Moment {
+    let moment = retry::CallState {
         now,
         deadline: call.deadline,
         paused: hub.in_doubt(call.received, now),
-        wanted: call.origin.look() != Look::Closed,
+        connected: call.origin.look() != Look::Closed,
     };
-    retry::hindrance(moment).map(Cause::outcome).or_else(|| quarantined(hub, call))
+    retry::stop_cause(moment).map(Cause::outcome).or_else(|| quarantined(hub, call))
 }
 
 /// Returns the outcome of a call that must not run, since upstreams ended under such calls, and notes which.
--- a/crates/traffic/src/entry/attempt.rs
+++ b/crates/traffic/src/entry/attempt.rs
@@ -35,7 +35,7 @@
         hub.tally.add(Count::Slow(call.service.to_owned(), upstream.address));
     }
     let sample = match &result {
-        Ok(answer) if answer.head.status().is_server_error() => Sample::Erred(elapsed),
+        Ok(answer) if answer.head.status().is_server_error() => Sample::ErrorAnswer(elapsed),
         Ok(_) => Sample::Answered(elapsed),
         Err(outcome) => Sample::of_failure(*outcome, elapsed),
     };
@@ -44,7 +44,7 @@
         (Ok(answer), Sample::Answered(time)) => {
             note_answered(hub, call, upstream, time, answer.body.len());
         }
-        (_, Sample::Silent(time)) => note_silent(hub, call, upstream, time),
+        (_, Sample::TimedOut(time)) => note_silent(hub, call, upstream, time),
         // A failure may come sooner or later than an answer; its time tells nothing.
         _ => {}
     }
@@ -67,13 +67,13 @@
 /// Notes that a call took `ratio` times as long as those of its route usually do.
 fn compare(hub: &Hub, call: &Call<'_>, upstream: &Upstream, ratio: f64) {
     let now = hub.clock.now();
-    hub.services.with(call.service, |s| s.record(upstream, now).compare(ratio, now));
+    hub.services.with(call.service, |s| s.record(upstream, now).record_slowness(ratio, now));
 }
 
 /// Notes that a call to `first` was answered by another upstream after `waited`.
 pub(super) fn note_overtaken(hub: &Hub, call: &Call<'_>, first: &Upstream, waited: Duration) {
     let now = hub.clock.now();
-    hub.services.with(call.service, |s| s.record(first, now).overtaken(waited, now));
+    hub.services.with(call.service, |s| s.record(first, now).record_hedge_loss(waited, now));
     note_silent(hub, call, first, waited);
 }
 
--- a/crates/traffic/src/entry/choice.rs
+++ b/crates/traffic/src/entry/choice.rs
@@ -41,11 +41,11 @@
 
 /// Chooses by what this node has seen alone.
 fn choose_near(call: &Call<'_>, able: &[Seen<'_>], tried: &[Upstream], now: Time) -> Option<usize> {
-    let reach = if call.profile.spill { Reach::Spill } else { Reach::OwnOnly };
+    let reach = if call.profile.spill { Reach::Failover } else { Reach::LocalOnly };
     let slow_start = Duration::from_millis(call.profile.slow_start_ms);
     let candidates: Vec<choice::Candidate<'_>> = able
         .iter()
-        .map(|&(u, record)| choice::Candidate { record, near: u.near, tried: is_tried(tried, u) })
+        .map(|&(u, record)| choice::Candidate { record, local: u.near, tried: is_tried(tried, u) })
         .collect();
     choice::choose(&candidates, reach, call.kind(), slow_start, now, &mut rand::rng())
 }
@@ -58,17 +58,17 @@
     tried: &[Upstream],
     now: Time,
 ) -> Option<usize> {
-    let returning = hub.estimates.bytes(call.service, &call.terms.route);
+    let response_bytes = hub.estimates.bytes(call.service, &call.terms.route);
     let warm_up = hub.warm_up(call.service);
     let candidates: Vec<placement::Candidate<'_>> = able
         .iter()
         .map(|&(u, record)| placement::Candidate {
             record,
             slots: u.slots,
-            way: way(hub, u),
+            locality: way(hub, u),
             tried: is_tried(tried, u),
-            crossing: call.payload.body.len(),
-            returning,
+            request_bytes: call.payload.body.len(),
+            response_bytes,
             refusals: tried.len() as u32,
             cold: cold(hub, warm_up, u, now),
         })
@@ -98,10 +98,10 @@
     tried.iter().any(|earlier| is_same_life(earlier, upstream))
 }
 
-fn way(hub: &Hub, upstream: &Upstream) -> placement::Way {
+fn way(hub: &Hub, upstream: &Upstream) -> placement::Locality {
     match upstream {
-        own if hub.is_own(own) => placement::Way::Own,
-        near if near.near => placement::Way::Near,
-        _ => placement::Way::Far,
+        own if hub.is_own(own) => placement::Locality::Instance,
+        near if near.near => placement::Locality::DataCentre,
+        _ => placement::Locality::Remote,
     }
 }
--- a/crates/traffic/src/entry/hedge.rs
+++ b/crates/traffic/src/entry/hedge.rs
@@ -71,6 +71,6 @@
         return None;
     }
     let second = choose(hub, call, tried)?;
-    let step = repeat::next_step(hub, call, retry::SILENT, tried.len(), arrivals);
-    (step == retry::Step::Again).then_some(second)
+    let step = repeat::next_step(hub, call, retry::TIMED_OUT, tried.len(), arrivals);
+    (step == retry::Step::Retry).then_some(second)
 }
--- a/crates/traffic/src/entry/repeat.rs
+++ b/crates/traffic/src/entry/repeat.rs
@@ -16,7 +16,7 @@
     let now = hub.clock.now();
     let budget = hub.tuning().budget;
     hub.services.with(call.service, |service| match &budget {
-        Some(settings) => service.window.call(settings, now),
+        Some(settings) => service.window.record_call(settings, now),
         None => service.budget.earn(call.profile.retry_budget_percent),
     });
 }
@@ -47,8 +47,8 @@
     let attempt = retry::Attempt { outcome, kind, made: arrivals, limit };
     let nodes = hub.fleet_size();
     let now = hub.clock.now();
-    retry::decide_arrivals(attempt, || {
-        hub.services.with(call.service, |s| s.window.repeat(&settings, nodes, now))
+    retry::decide_reached(attempt, || {
+        hub.services.with(call.service, |s| s.window.try_retry(&settings, nodes, now))
     })
 }
 
@@ -56,7 +56,7 @@
 pub(super) fn patience(hub: &Hub, call: &Call<'_>, made: usize) -> Time {
     let now = hub.clock.now();
     let remaining = call.deadline.since(now);
-    now + retry::attempt_time(remaining, call.kind(), made as u32 - 1, call.terms.attempts)
+    now + retry::attempt_timeout(remaining, call.kind(), made as u32 - 1, call.terms.attempts)
 }
 
 /// Returns how long the first attempt may be silent before a second one is made beside it; none
@@ -74,6 +74,6 @@
         let record = s.record(first, now);
         (record.slowness(now), record.failure_share(now))
     });
-    let prospect = retry::Prospect { latency, slowness, failure_share, due, remaining };
-    Some(retry::second_delay(prospect))
+    let prospect = retry::Hedge { latency, slowness, failure_share, due, remaining };
+    Some(retry::hedge_delay(prospect))
 }
--- a/crates/traffic/src/gate/running.rs
+++ b/crates/traffic/src/gate/running.rs
@@ -5,7 +5,7 @@
 //! ids tell them apart: an upstream makes each one out of the id of the request that it works on,
 //! a dot, and something of its own.
 
-use policy::{admission::Rank, urgency::Work};
+use policy::{admission::Rank, urgency::Parent};
 use std::{
     collections::HashMap,
     sync::{Arc, Mutex, MutexGuard},
@@ -27,7 +27,7 @@
 struct Run {
     /// How often it is there.
     count: usize,
-    work: Work,
+    work: Parent,
 }
 
 /// A request that the upstream works on, until this is dropped.
@@ -40,13 +40,13 @@
 impl Running {
     /// Notes that the upstream begins to work on `id`, which was let in under `rank`.
     pub(crate) fn begin(&self, id: &str, rank: Rank) -> Entry {
-        let run = Run { count: 0, work: Work { rank, answered: 0 } };
+        let run = Run { count: 0, work: Parent { rank, answered: 0 } };
         self.lock().entry(id.to_owned()).or_insert(run).count += 1;
         Entry { running: self.clone(), id: id.to_owned() }
     }
 
     /// Returns the work that the call `id` is made for, if the upstream works on it.
-    pub(crate) fn parent_of(&self, id: &str) -> Option<Work> {
+    pub(crate) fn parent_of(&self, id: &str) -> Option<Parent> {
         let (parent, _) = id.rsplit_once(SEPARATOR)?;
         self.lock().get(parent).map(|run| run.work)
     }
--- a/crates/traffic/src/gate/transfer.rs
+++ b/crates/traffic/src/gate/transfer.rs
@@ -44,7 +44,7 @@
 impl Transfers {
     /// Creates turns for a link of `link_mbps`; 0 stands for a fast one.
     pub(crate) fn new(clock: Clock, link_mbps: u32) -> Self {
-        let turnstile = Turnstile::new(clock, transfer::lanes(link_mbps));
+        let turnstile = Turnstile::new(clock, transfer::max_concurrent(link_mbps));
         Transfers { clock, turnstile, granted: Mutex::default() }
     }
 
--- a/crates/traffic/src/gate/turnstile.rs
+++ b/crates/traffic/src/gate/turnstile.rs
@@ -2,7 +2,7 @@
 
 use model::time::Time;
 use policy::{
-    admission::{Entry, Gate, Rank, Ticket},
+    admission::{Decision, Limiter, Rank, Ticket},
     health::Load,
     outcome::{Cause, Loss, Outcome, Step, of_loss},
     warmup::Limit,
@@ -37,7 +37,7 @@
 /// The decision, and how to tell those that wait.
 #[derive(Debug)]
 struct Queue {
-    gate: Gate,
+    gate: Limiter,
     waiters: HashMap<Ticket, oneshot::Sender<Verdict>>,
 }
 
@@ -73,7 +73,7 @@
 
 impl Turnstile {
     pub(crate) fn new(clock: Clock, slots: usize) -> Arc<Self> {
-        let queue = Queue { gate: Gate::new(slots), waiters: HashMap::new() };
+        let queue = Queue { gate: Limiter::new(slots), waiters: HashMap::new() };
         Arc::new(Turnstile { clock, tickets: AtomicU64::new(0), queue: Mutex::new(queue) })
     }
 
@@ -87,9 +87,9 @@
         let ticket = Ticket(self.tickets.fetch_add(1, Ordering::Relaxed));
         let (entry, verdict) = self.arrive(ticket, rank, deadline, queue_limit);
         let until = match entry {
-            Entry::Run => return Ok(self.pass(ticket)),
-            Entry::Refuse(after) => return Err(Outcome::NotRun(Cause::Overloaded, after)),
-            Entry::Wait(until) => until,
+            Decision::Run => return Ok(self.pass(ticket)),
+            Decision::Refuse(after) => return Err(Outcome::NotRun(Cause::Overloaded, after)),
+            Decision::Wait(until) => until,
         };
         let mut place = Place { turnstile: self.clone(), ticket, verdict, ended: false };
         loop {
@@ -105,7 +105,7 @@
                 }
                 Err(_) if self.clock.now() < until => self.release(),
                 _ if until < deadline => return Err(Cause::Overloaded.outcome()),
-                _ => return Err(of_loss(Step::Queue, Loss::Silent)),
+                _ => return Err(of_loss(Step::Queue, Loss::Timeout)),
             }
         }
     }
@@ -128,7 +128,7 @@
     /// Wakes the tasks for which there are slots and tokens.
     fn release(&self) {
         let mut queue = self.lock();
-        let granted = queue.gate.release(self.clock.now());
+        let granted = queue.gate.grant_waiting(self.clock.now());
         queue.wake(&granted);
     }
 
@@ -144,7 +144,7 @@
 
     /// Tells whether a task would be let in or could wait now.
     pub(crate) fn admits(&self, rank: Rank, deadline: Time, queue_limit: usize) -> bool {
-        self.lock().gate.admits(rank, self.clock.now(), deadline, queue_limit)
+        self.lock().gate.would_admit(rank, self.clock.now(), deadline, queue_limit)
     }
 
     /// Returns what is held and what waits.
@@ -175,11 +175,11 @@
         rank: Rank,
         deadline: Time,
         queue_limit: usize,
-    ) -> (Entry, oneshot::Receiver<Verdict>) {
+    ) -> (Decision, oneshot::Receiver<Verdict>) {
         let (sender, receiver) = oneshot::channel();
         let mut queue = self.lock();
-        let entry = queue.gate.arrive_ranked(ticket, rank, self.clock.now(), deadline, queue_limit);
-        if matches!(entry, Entry::Wait(_)) {
+        let entry = queue.gate.admit_ranked(ticket, rank, self.clock.now(), deadline, queue_limit);
+        if matches!(entry, Decision::Wait(_)) {
             queue.waiters.insert(ticket, sender);
         }
         (entry, receiver)
--- a/crates/traffic/src/hub.rs
+++ b/crates/traffic/src/hub.rs
@@ -18,7 +18,7 @@
     view::{Upstream, View},
 };
 use model::{config::Snapshot, time::Time};
-use policy::{comeback, health, pause, split::Split};
+use policy::{client_retry, health, pause, split::Split};
 use std::{
     collections::HashMap,
     sync::{
@@ -59,7 +59,7 @@
     /// Highest revision of the configuration that this node holds or is going to.
     expected: AtomicU64,
     view: ArcSwap<View>,
-    watch: Mutex<pause::Watch>,
+    watch: Mutex<pause::Detector>,
     ids: AtomicU64,
     pub(crate) state: State,
     pub(crate) services: Services,
@@ -74,7 +74,7 @@
     pub(crate) transfers: Transfers,
     splits: Mutex<HashMap<String, Split>>,
     /// Callers that were refused and may come back.
-    refused: Mutex<comeback::Register>,
+    refused: Mutex<client_retry::History>,
     pub(crate) held: Held,
 }
 
@@ -86,7 +86,7 @@
         let transfers = Transfers::new(clock, settings.link_mbps);
         let log = Log::new(clock);
         let log = if settings.log { log.keep(&settings.instance) } else { log };
-        let watch = pause::Watch::new(settings.pause, clock.now());
+        let watch = pause::Detector::new(settings.pause, clock.now());
         Arc::new(Hub {
             settings,
             clock,
@@ -202,7 +202,7 @@
     }
 
     /// Gives `work` the register of refused callers.
-    pub(crate) fn with_refused<T>(&self, work: impl FnOnce(&mut comeback::Register) -> T) -> T {
+    pub(crate) fn with_refused<T>(&self, work: impl FnOnce(&mut client_retry::History) -> T) -> T {
         work(&mut lock(&self.refused))
     }
 
@@ -245,7 +245,7 @@
 
     /// Notes a beat of the thread that watches for pauses; returns the length of one that ended.
     pub fn beat(&self) -> Option<Duration> {
-        lock(&self.watch).beat(self.clock.now())
+        lock(&self.watch).tick(self.clock.now())
     }
 
     /// Returns the counts of notable calls since the last time, and does small upkeep.
@@ -273,6 +273,6 @@
     }
 
     pub(crate) fn in_doubt(&self, received: Time, now: Time) -> bool {
-        lock(&self.watch).in_doubt(received, now)
+        lock(&self.watch).may_be_stale(received, now)
     }
 }
--- a/crates/traffic/src/hub/ends.rs
+++ b/crates/traffic/src/hub/ends.rs
@@ -5,7 +5,7 @@
     request::{Fingerprint, Suspect},
     time::Time,
 };
-use policy::suspects::{self, Runs};
+use policy::suspects::{self, History};
 use std::sync::{
     Mutex,
     atomic::{AtomicBool, Ordering},
@@ -16,7 +16,7 @@
 /// What is known of the own upstream's ends.
 #[derive(Debug, Default)]
 pub(crate) struct Ends {
-    runs: Mutex<Runs>,
+    runs: Mutex<History>,
     /// Whether somebody finds out whether the upstream has ended.
     looking: AtomicBool,
     /// The end of the present process, once it is found.
@@ -38,12 +38,12 @@
 
     /// Notes that the upstream answered a call.
     pub(crate) fn answer(&self, request: Fingerprint, now: Time) {
-        lock(&self.runs).answer(request, now);
+        lock(&self.runs).record_answer(request, now);
     }
 
     /// Notes that a call to the upstream was lost.
     pub(crate) fn lose(&self, suspect: Suspect, loss: suspects::Loss, now: Time) {
-        lock(&self.runs).lose(suspect, loss, now);
+        lock(&self.runs).record_loss(suspect, loss, now);
     }
 
     /// Tells whether the upstream answered anything after `since`.
@@ -67,9 +67,9 @@
         let mut runs = lock(&self.runs);
         if !has_ended {
             self.see_alive();
-            return runs.survive();
+            return runs.clear_broken();
         }
-        let suspects = runs.end(now);
+        let suspects = runs.take_suspects(now);
         if !suspects.is_empty() {
             let end = *lock(&self.present).get_or_insert_with(|| End(rand::random()));
             lock(&self.found).push(Loss { end, suspects });
--- a/crates/traffic/src/hub/estimates.rs
+++ b/crates/traffic/src/hub/estimates.rs
@@ -28,7 +28,7 @@
 
     /// Returns the bytes that answers of `route` to `service` usually have; 0 before the first one.
     pub(crate) fn bytes(&self, service: &str, route: &str) -> usize {
-        lock(&self.routes).get(key(service, route)).map_or(0, |answers| answers.size.usual())
+        lock(&self.routes).get(key(service, route)).map_or(0, |answers| answers.size.mean())
     }
 
     /// Notes that a call of `route` to `service` was answered after `time` with `bytes`; returns the
@@ -44,8 +44,8 @@
         let mut routes = lock(&self.routes);
         if let Some(answers) = routes.get_mut(key) {
             let before = answers.latency;
-            answers.latency.note(time);
-            answers.size.note(bytes);
+            answers.latency.record(time);
+            answers.size.record(bytes);
             return Some(before);
         }
         if routes.len() < ROUTES_MOST {
--- a/crates/traffic/src/hub/room.rs
+++ b/crates/traffic/src/hub/room.rs
@@ -2,7 +2,7 @@
 //!
 //! Without a bound, a service whose upstreams hang fills the node until nothing else finds room.
 
-use policy::share::Room;
+use policy::share::Capacity;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 use crate::hub::services::Services;
@@ -42,7 +42,7 @@
     }
 
     /// Reserves `more` bytes of `room`; returns whether they fit.
-    pub(crate) fn extend(&mut self, more: usize, room: Room) -> bool {
+    pub(crate) fn extend(&mut self, more: usize, room: Capacity) -> bool {
         if !room.fits(self.held.bytes.load(Ordering::SeqCst), more) {
             return false;
         }
@@ -71,7 +71,7 @@
         held: &'a Held,
         services: &'a Services,
         service: &'a str,
-        room: Room,
+        room: Capacity,
     ) -> Option<Self> {
         let total = held.calls();
         let admitted = services.with(service, |s| {
--- a/crates/traffic/src/hub/services.rs
+++ b/crates/traffic/src/hub/services.rs
@@ -42,7 +42,7 @@
             for upstream in view.upstreams(name) {
                 let record = service.record(upstream, now);
                 if has_returned(upstream, before.upstreams(name)) {
-                    record.pardon(now);
+                    record.reinstate(now);
                 }
             }
         }
--- a/crates/traffic/src/hub/settings.rs
+++ b/crates/traffic/src/hub/settings.rs
@@ -1,6 +1,6 @@
 //! Settings of a node's traffic.
 
-use policy::{budget, pause, share::Room, warmup::Excess};
+use policy::{budget, pause, share::Capacity, warmup::Excess};
 use std::{net::SocketAddr, time::Duration};
 
 use crate::wire;
@@ -41,7 +41,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tuning {
     /// Room for calls in hand.
-    pub room: Room,
+    pub room: Capacity,
     /// Longest time for opening a connection.
     pub connect: Duration,
     /// Bound on repeated calls of the whole fleet; none where profiles bound each node's.
@@ -53,7 +53,7 @@
 impl Default for Tuning {
     fn default() -> Self {
         Tuning {
-            room: Room::default(),
+            room: Capacity::default(),
             connect: Duration::from_millis(250),
             budget: None,
             cold_excess: Excess::default(),
--- a/crates/traffic/src/intake/caller.rs
+++ b/crates/traffic/src/intake/caller.rs
@@ -158,13 +158,13 @@
 }
 
 /// Replaces the usual time to come back by one that suits the call.
-fn with_comeback(hub: &Hub, outcome: Outcome, clock: Option<urgency::Clock>) -> Outcome {
+fn with_comeback(hub: &Hub, outcome: Outcome, clock: Option<urgency::Timing>) -> Outcome {
     match (outcome, clock) {
         // Nothing that the caller could wait for comes sooner.
         (Outcome::NotRun(Cause::Quarantined, _), _) => outcome,
         (Outcome::NotRun(cause, _), Some(clock)) => {
             let clock = clock.at(hub.clock.now());
-            Outcome::NotRun(cause, urgency::comeback(clock, &mut rand::rng()))
+            Outcome::NotRun(cause, urgency::retry_after(clock, &mut rand::rng()))
         }
         _ => outcome,
     }
--- a/crates/traffic/src/link/arrival.rs
+++ b/crates/traffic/src/link/arrival.rs
@@ -4,7 +4,7 @@
 use hyper::{HeaderMap, Request, Response, header::HeaderValue, http::request::Parts};
 use model::time::Time;
 use policy::{
-    admission::{Line, Rank},
+    admission::{Class, Rank},
     claim,
     outcome::{Cause, Outcome},
     retry::Kind,
@@ -76,7 +76,7 @@
     let body = body.map_err(|_| Cause::BadRequest.outcome())?;
     let mut offer = offer(head, stated, body, origin, received);
     if let Some(turn) = turn {
-        let start_by = transfer::start_crossed(hub.clock.now(), offer.deadline);
+        let start_by = transfer::start_after_transfer(hub.clock.now(), offer.deadline);
         offer.rank = Rank { start_by: Some(start_by), ..offer.rank };
         hub.transfers.finish(turn);
     }
@@ -121,7 +121,7 @@
     Ok(Rank {
         priority: priority.unwrap_or(0).min(u8::MAX.into()) as u8,
         start_by: start.map(|ms| received + Duration::from_millis(ms)),
-        line: if nested { Line::Upstreams } else { Line::Callers },
+        class: if nested { Class::Nested } else { Class::External },
     })
 }
 
--- a/crates/traffic/src/link/offer.rs
+++ b/crates/traffic/src/link/offer.rs
@@ -4,7 +4,7 @@
 use hyper::{Request, Response, header::HeaderValue};
 use model::time::Time;
 use policy::{
-    admission::Line,
+    admission::Class,
     claim,
     outcome::{Cause, Doubt, Loss, Outcome, Step, of_loss},
     placement,
@@ -36,7 +36,7 @@
     let offer = Offer {
         payload: call.payload.clone(),
         received: call.received,
-        deadline: now + claim::passed_on(call.deadline.since(now)),
+        deadline: now + claim::forwarded_timeout(call.deadline.since(now)),
         kind: call.kind(),
         rank: call.rank,
         incarnation: upstream.incarnation,
@@ -47,13 +47,14 @@
     };
     if hub.is_own(upstream) {
         let work = timeout(patience.since(now), serving::run(hub, call.profile, offer));
-        let result = work.await.unwrap_or_else(|_| Err(of_loss(Step::Run, Loss::Silent)));
+        let result = work.await.unwrap_or_else(|_| Err(of_loss(Step::Run, Loss::Timeout)));
         let (load, now) = (hub.load(), hub.clock.now());
-        hub.services.with(call.service, |s| s.record(upstream, now).hear_load(load, now));
+        hub.services.with(call.service, |s| s.record(upstream, now).update_load(load, now));
         return result;
     }
     let mut ticket = None;
-    if hub.settings.incarnation.is_none() && offer.payload.body.len() >= placement::LARGE {
+    if hub.settings.incarnation.is_none() && offer.payload.body.len() >= placement::LARGE_BODY_BYTES
+    {
         ticket = Some(reserve(hub, call, upstream, &offer, patience).await?);
     }
     carry(hub, call, upstream, &offer, &Parcel::Offer(ticket), patience).await
@@ -103,7 +104,7 @@
             result => return result.map_err(settled),
         }
     }
-    let time = hub.tuning().connect + transfer::backlog(hub.settings.link_mbps);
+    let time = hub.tuning().connect + transfer::queueing_delay(hub.settings.link_mbps);
     let time = time.min(patience.since(hub.clock.now()));
     let opened = hub.pool.open(upstream.traffic, time).await;
     let connection = opened.map_err(|_| of_loss(Step::Connect, Loss::Closed))?;
@@ -137,7 +138,7 @@
         receive(hub, call, upstream, offer, head, time).await
     };
     let result =
-        timeout(time, exchange).await.unwrap_or(Err(Some(of_loss(Step::Offer, Loss::Silent))));
+        timeout(time, exchange).await.unwrap_or(Err(Some(of_loss(Step::Offer, Loss::Timeout))));
     let usable = matches!(result, Ok(_) | Err(Some(Outcome::NotRun(..))));
     if usable {
         hub.pool.put(upstream.traffic, connection);
@@ -162,12 +163,12 @@
     }
     if let Some(load) = wire::read_load(&parts.headers) {
         let now = hub.clock.now();
-        hub.services.with(call.service, |s| s.record(upstream, now).hear_load(load, now));
+        hub.services.with(call.service, |s| s.record(upstream, now).update_load(load, now));
     }
     let body = body::receive(incoming, call.profile.max_answer_bytes, time).await;
     let body = body.map_err(|fault| match fault {
-        body::Fault::Slow => Some(of_loss(Step::Answer, Loss::Silent)),
-        body::Fault::Large | body::Fault::Short => Some(of_loss(Step::Answer, Loss::Garbled)),
+        body::Fault::Slow => Some(of_loss(Step::Answer, Loss::Timeout)),
+        body::Fault::Large | body::Fault::Short => Some(of_loss(Step::Answer, Loss::Malformed)),
     })?;
     match wire::outcome(&parts.headers) {
         Ok(None) => Ok(Answer { head: Response::from_parts(parts, ()), body }),
@@ -204,7 +205,7 @@
         headers.insert(wire::SERVICE, service);
     }
     headers.insert(wire::PRIORITY, wire::number(offer.rank.priority.into()));
-    if offer.rank.line == Line::Upstreams {
+    if offer.rank.class == Class::Nested {
         headers.insert(wire::NESTED, wire::number(1));
     }
     let start_by = match parcel {
--- a/crates/traffic/src/routing/returning.rs
+++ b/crates/traffic/src/routing/returning.rs
@@ -1,8 +1,8 @@
-//! Tells a caller's later attempts from first ones: `policy::comeback` put into effect.
+//! Tells a caller's later attempts from first ones: `policy::client_retry` put into effect.
 
 use hyper::{HeaderMap, Method, Response, Uri, header};
 use model::{request::Fingerprint, time::Time};
-use policy::comeback::Attempt;
+use policy::client_retry::Attempt;
 use std::time::Duration;
 use xxhash_rust::xxh3::Xxh3;
 
@@ -48,7 +48,7 @@
         asked.and_then(|text| text.parse().ok()).map_or(Duration::ZERO, Duration::from_millis);
     let now = hub.clock.now();
     let Caller { fingerprint, begun, until, .. } = caller;
-    hub.with_refused(|refused| refused.note(fingerprint, begun, now, after, until));
+    hub.with_refused(|refused| refused.record(fingerprint, begun, now, after, until));
 }
 
 fn fingerprint(method: &Method, target: &Uri, headers: &HeaderMap) -> Fingerprint {
--- a/crates/traffic/src/routing/schedule.rs
+++ b/crates/traffic/src/routing/schedule.rs
@@ -20,7 +20,7 @@
     pub(crate) deadline: Time,
     pub(crate) caller: Caller,
     /// What is known of its time, if its route names an objective.
-    pub(crate) clock: Option<urgency::Clock>,
+    pub(crate) clock: Option<urgency::Timing>,
     /// Who makes it.
     pub(crate) origin: urgency::Origin,
     pub(crate) rank: Rank,
@@ -65,15 +65,15 @@
     caller: Caller,
     received: Time,
     deadline: Time,
-) -> Option<urgency::Clock> {
+) -> Option<urgency::Timing> {
     let objective = Duration::from_millis(target.terms.objective_ms?);
     let latency = hub.estimates.latency(target.service, &target.terms.route);
-    Some(urgency::Clock {
+    Some(urgency::Timing {
         received,
         deadline,
         attempt: caller.attempt,
         elapsed: received.since(caller.begun),
         objective,
-        usual: urgency::usual(latency, objective),
+        expected: urgency::expected_time(latency, objective),
     })
 }
--- a/crates/traffic/src/serving.rs
+++ b/crates/traffic/src/serving.rs
@@ -159,13 +159,13 @@
 fn check_claim(hub: &Hub, offer: &Offer) -> Result<(), Outcome> {
     let now = hub.clock.now();
     let quarantined = hub.quarantined(&offer.payload, &hub.settings.service);
-    let facts = claim::Facts {
+    let facts = claim::Conditions {
         now,
         deadline: offer.deadline,
         paused: hub.in_doubt(offer.received, now),
-        wanted: offer.origin.look() != Look::Closed,
+        connected: offer.origin.look() != Look::Closed,
         leaving: hub.state.is_leaving() || hub.has_left(offer.identity.as_deref()),
-        own: hub.settings.incarnation.is_none_or(|own| own == offer.incarnation)
+        current_incarnation: hub.settings.incarnation.is_none_or(|own| own == offer.incarnation)
             && !hub.has_restarted(offer.identity.as_deref(), offer.started_ms),
         evacuated: hub.is_evacuated(),
         quarantined: quarantined.is_some(),
--- a/crates/traffic/src/upstream.rs
+++ b/crates/traffic/src/upstream.rs
@@ -97,7 +97,7 @@
     slot.service_time = Some(hub.clock.now().since(begun));
     let Ok(result) = result else {
         hub.pool.forget(hub.settings.upstream);
-        return Err(Sent::Lost(of_loss(Step::Run, Loss::Silent)));
+        return Err(Sent::Lost(of_loss(Step::Run, Loss::Timeout)));
     };
     let answer = result?;
     let rejected_early = !answer.head.status().is_success() && !offer.payload.body.is_empty();
@@ -129,8 +129,8 @@
     let (parts, incoming) = head.into_parts();
     let body = body::receive(incoming, profile.max_answer_bytes, time).await;
     let body = body.map_err(|fault| match fault {
-        body::Fault::Slow => of_loss(Step::Answer, Loss::Silent),
-        body::Fault::Large | body::Fault::Short => of_loss(Step::Answer, Loss::Garbled),
+        body::Fault::Slow => of_loss(Step::Answer, Loss::Timeout),
+        body::Fault::Large | body::Fault::Short => of_loss(Step::Answer, Loss::Malformed),
     })?;
     Ok(Answer { head: Response::from_parts(parts, ()), body })
 }
--- a/xtask/src/bench/overload.rs
+++ b/xtask/src/bench/overload.rs
@@ -5,7 +5,7 @@
 
 use model::time::Time;
 use policy::{
-    admission::{Entry, Gate, Ticket},
+    admission::{Decision, Limiter, Ticket},
     choice::{Candidate, Reach, choose},
     health::{Record, Sample},
     outcome::{Cause, Doubt, Outcome},
@@ -117,7 +117,7 @@
     now: Time,
     agenda: BinaryHeap<Reverse<(Time, u64, Due)>>,
     number: u64,
-    gates: Vec<Gate>,
+    gates: Vec<Limiter>,
     records: Vec<Record>,
     calls: HashMap<u64, Call>,
     budget: Budget,
@@ -133,7 +133,7 @@
         now: Time::default(),
         agenda: BinaryHeap::new(),
         number: 0,
-        gates: (0..UPSTREAMS).map(|_| Gate::new(SLOTS)).collect(),
+        gates: (0..UPSTREAMS).map(|_| Limiter::new(SLOTS)).collect(),
         records: (0..UPSTREAMS).map(|_| Record::new(Time::default())).collect(),
         calls: HashMap::new(),
         budget: Budget::default(),
@@ -182,10 +182,10 @@
             self.result.offered += 1;
             self.records[upstream].begin();
             let limit = if self.way.hopeless_refused { deadline } else { deadline + SPAN };
-            match self.gates[upstream].arrive(Ticket(number), self.now, limit, self.way.queue) {
-                Entry::Run => return self.work(upstream, number),
-                Entry::Wait(_) => return,
-                Entry::Refuse(after) => {
+            match self.gates[upstream].admit(Ticket(number), self.now, limit, self.way.queue) {
+                Decision::Run => return self.work(upstream, number),
+                Decision::Wait(_) => return,
+                Decision::Refuse(after) => {
                     self.records[upstream].end(self.now, Sample::Refused);
                     if !self.again(Outcome::NotRun(Cause::Overloaded, after), made) {
                         return self.drop_call(number);
@@ -229,7 +229,7 @@
         if self.way.budget_percent.is_none() {
             self.budget = Budget::default();
         }
-        decide(attempt, &mut self.budget) == Step::Again
+        decide(attempt, &mut self.budget) == Step::Retry
     }
 
     fn choose(&mut self, number: u64) -> Option<usize> {
@@ -243,11 +243,11 @@
             .records
             .iter()
             .enumerate()
-            .map(|(i, record)| Candidate { record, near: true, tried: tried[i] })
+            .map(|(i, record)| Candidate { record, local: true, tried: tried[i] })
             .collect();
         choose(
             &candidates,
-            Reach::OwnOnly,
+            Reach::LocalOnly,
             Kind::Idempotent,
             Duration::ZERO,
             self.now,
