--- a/crates/fleet/src/catchup.rs
+++ b/crates/fleet/src/catchup.rs
@@ -6,7 +6,7 @@
 //! which none is used. So a node asks for pieces that its link carries, keeps what it has received, and
 //! goes on from there, also at another node and also if that holds another version.
 //!
-//! Invariant *whole or nothing*: no document of a [`Draft`] is in force. The set leaves it only when it
+//! Invariant *whole or nothing*: no document of a [`Transfer`] is in force. The set leaves it only when it
 //! has the digest of an announced version.
 
 use model::{
@@ -31,7 +31,7 @@
 
 /// Documents of a newer version received so far.
 #[derive(Debug)]
-pub struct Draft {
+pub struct Transfer {
     set: Option<Set>,
     /// Whether it was begun from nothing instead of from the version in force.
     is_anew: bool,
@@ -49,18 +49,18 @@
 #[derive(Debug)]
 pub enum Progress {
     /// A whole version, with the digest that was announced.
-    Whole(Box<Set>),
+    Complete(Box<Set>),
     /// More is to be asked for.
-    Part,
+    Partial,
     /// The other node holds nothing newer than what is in force here; what was received is kept.
     Stale,
     /// The answers do not lead to the announced version; the draft is dropped.
     Unusable,
 }
 
-impl Default for Draft {
+impl Default for Transfer {
     fn default() -> Self {
-        Draft {
+        Transfer {
             set: None,
             is_anew: false,
             target: Version::default(),
@@ -71,7 +71,7 @@
     }
 }
 
-impl Draft {
+impl Transfer {
     /// Tells whether nothing was received.
     pub fn is_empty(&self) -> bool {
         self.set.is_none()
@@ -97,8 +97,8 @@
     /// Returns the question for what differs from what was received, or from the version in force.
     ///
     /// ```
-    /// use fleet::{catchup::Draft, fence::Fence};
-    /// let pull = Draft::default().pull_content(&Fence::default());
+    /// use fleet::{catchup::Transfer, fence::Fence};
+    /// let pull = Transfer::default().pull_content(&Fence::default());
     /// assert_eq!(pull.buckets.len(), model::document::BUCKETS);
     /// ```
     pub fn pull_content(&self, fence: &Fence) -> Pull {
@@ -109,7 +109,7 @@
     }
 
     /// Takes the answer to a question.
-    pub fn take(&mut self, fence: &Fence, bundle: Bundle) -> Progress {
+    pub fn receive(&mut self, fence: &Fence, bundle: Bundle) -> Progress {
         let Bundle { version, delta, more } = bundle;
         self.losses = 0;
         if version.revision <= fence.version().revision {
@@ -122,8 +122,8 @@
         self.target = version;
         let set = self.set.as_ref().unwrap_or(fence.set()).with(delta);
         if !more && set.version() == version {
-            *self = Draft::default();
-            return Progress::Whole(Box::new(set));
+            *self = Transfer::default();
+            return Progress::Complete(Box::new(set));
         }
         if is_idle || self.pieces >= PIECES_MOST || (!more && is_whole) {
             self.clear();
@@ -131,7 +131,7 @@
         }
         if more {
             self.set = Some(set);
-            return Progress::Part;
+            return Progress::Partial;
         }
         // The deltas do not lead from what is held here to what the other node holds: they were made
         // for a version that has been replaced since, or a removal was forgotten. The digest shows it,
@@ -141,14 +141,14 @@
         self.is_anew = !(is_by_revision && self.is_empty());
         let base = if self.is_anew { Set::default() } else { fence.set().clone() };
         self.set = Some(base);
-        Progress::Part
+        Progress::Partial
     }
 
     /// Notes that a question was not answered in time.
     ///
     /// After the second one in a row the next one asks for less: one may be lost for a reason that has
     /// nothing to do with the link.
-    pub fn lose(&mut self) {
+    pub fn note_timeout(&mut self) {
         self.losses += 1;
         if self.losses > 1 {
             self.size = (self.size / 2).max(PIECE_LEAST);
@@ -157,6 +157,6 @@
 
     /// Drops what was received.
     pub fn clear(&mut self) {
-        *self = Draft { size: self.size, ..Draft::default() };
+        *self = Transfer { size: self.size, ..Transfer::default() };
     }
 }
--- a/crates/fleet/src/clock.rs
+++ b/crates/fleet/src/clock.rs
@@ -51,7 +51,7 @@
     /// use fleet::clock::{Clock, Now};
     /// let (mut a, mut b) = (Clock::default(), Clock::default());
     /// let sent = a.stamp(Now { wall_ms: 2_000, ..Now::default() });
-    /// b.hear(sent, Now { wall_ms: 1_000, ..Now::default() });
+    /// b.observe(sent, Now { wall_ms: 1_000, ..Now::default() });
     /// assert!(b.stamp(Now { wall_ms: 1_000, ..Now::default() }) > sent);
     /// ```
     pub fn stamp(&mut self, now: Now) -> Stamp {
@@ -60,7 +60,7 @@
     }
 
     /// Takes note of a stamp that came with a message.
-    pub fn hear(&mut self, stamp: Stamp, now: Now) {
+    pub fn observe(&mut self, stamp: Stamp, now: Now) {
         if stamp.wall_ms() <= now.wall_ms.saturating_add(AHEAD_LIMIT_MS) {
             self.last = self.last.max(stamp.0);
         }
--- a/crates/fleet/src/control.rs
+++ b/crates/fleet/src/control.rs
@@ -8,7 +8,7 @@
 mod port;
 mod version;
 
-pub use self::port::{Asked, Effect, Event, Lost, Machine};
+pub use self::port::{Effect, Error, Event, Machine, Method};
 
 use model::{
     config::{Snapshot, Version},
@@ -23,17 +23,17 @@
 };
 
 use crate::{
-    catchup::Draft,
+    catchup::Transfer,
     clock::{Clock, Now, Stamp},
     directory::Update,
+    dissemination::{Epidemic, Strategy},
     fence::{Announced, Fence},
     member::{Record, State},
-    message::{Beat, Request, Response, Sender, Sync},
-    plan::{Epidemic, Plan},
+    message::{Heartbeat, Request, Response, Sender, Sync},
     probe::{self, Prober},
-    quarantine::{Loss, REPORTS_AT_ONCE, Register},
+    quarantine::{Crash, REPORTS_PER_MESSAGE, Register},
     roster::Roster,
-    source::{self, Duty, Query, Role, Topic},
+    source::{self, Query, Role, Schedule, Topic},
     status,
     timeline::{Event as Note, Kind, Ring},
     view::View,
@@ -65,13 +65,13 @@
     /// How this node begins: address, instance, service, data centre, incarnation.
     pub own: Record,
     /// Addresses of nodes to ask first; may be stale or empty.
-    pub contacts: Vec<SocketAddr>,
+    pub seeds: Vec<SocketAddr>,
     /// How long a starting node listens to peers before it turns to the platform.
     pub join_wait: Duration,
     /// Bound of the random time added to `join_wait`, so that a herd does not call at once.
     pub start_jitter: Duration,
     /// How new versions are passed on.
-    pub plan: Box<dyn Plan>,
+    pub dissemination: Box<dyn Strategy>,
     /// Seed of all random choices.
     pub seed: u64,
     /// Product version told to operators.
@@ -83,10 +83,10 @@
     pub fn new(own: Record) -> Self {
         Settings {
             own,
-            contacts: Vec::new(),
+            seeds: Vec::new(),
             join_wait: Duration::from_millis(400),
             start_jitter: Duration::from_millis(2_000),
-            plan: Box::new(Epidemic::default()),
+            dissemination: Box::new(Epidemic::default()),
             seed: 0,
             product: String::new(),
         }
@@ -101,12 +101,12 @@
     random: SmallRng,
     roster: Roster,
     fence: Fence,
-    draft: Draft,
+    transfer: Transfer,
     /// Pulls in a row that brought no answer.
     lost_pulls: u32,
     announced: Announced,
     quarantine: Register,
-    duty: Duty,
+    schedule: Schedule,
     prober: Prober,
     contacts: Vec<SocketAddr>,
     listed: BTreeMap<SocketAddr, String>,
@@ -135,17 +135,17 @@
         let jitter = settings.start_jitter.mul_f64(random.random_range(0.0..1.0));
         let roster = Roster::new(settings.own.clone(), now.time);
         let contacts =
-            settings.contacts.iter().copied().filter(|&a| a != settings.own.address).collect();
+            settings.seeds.iter().copied().filter(|&a| a != settings.own.address).collect();
         let mut control = Control {
             clock: Clock::default(),
             ring: Ring::default(),
             roster,
             fence: Fence::default(),
-            draft: Draft::default(),
+            transfer: Transfer::default(),
             lost_pulls: 0,
             announced: Announced::default(),
             quarantine: Register::default(),
-            duty: Duty::new(begin + jitter),
+            schedule: Schedule::new(begin + jitter),
             prober: Prober::new(begin),
             contacts,
             listed: BTreeMap::new(),
@@ -177,12 +177,12 @@
     pub fn apply(&mut self, event: Event, now: Now) -> Vec<Effect> {
         match event {
             Event::Tick => self.tick(now),
-            Event::Woke(pause) => self.wake(pause, now),
-            Event::Asked(request) => self.answer(request, now),
-            Event::Answered(peer, response) => self.hear(peer, response, now),
-            Event::Lost(peer, lost) => self.lose(peer, lost, now),
+            Event::Resumed(pause) => self.wake(pause, now),
+            Event::Request(request) => self.answer(request, now),
+            Event::Response(peer, response) => self.hear(peer, response, now),
+            Event::Failed(peer, lost) => self.lose(peer, lost, now),
             // Only nodes in listed mode send summaries.
-            Event::Heard(_) => {}
+            Event::Digest(_) => {}
             Event::Source(answer) => self.hear_source(answer, now),
             Event::Note(kind) => self.note(kind, now),
             Event::UpstreamEnded(loss) => self.note_end(loss, now),
@@ -226,7 +226,7 @@
             quarantined: self.quarantine.status(now.time),
             evacuated: Vec::new(),
             reader_rank: self.rank,
-            source_age_ms: self.duty.contact(now.time).map(|c| c.age_ms),
+            source_age_ms: self.schedule.contact(now.time).map(|c| c.age_ms),
             stale_source: self.stale_source,
             members: self.roster.iter().map(member_status).collect(),
             instance: own.instance,
@@ -261,11 +261,12 @@
 
     fn wake(&mut self, pause: Duration, now: Now) {
         self.note(Kind::Paused { ms: pause.as_millis() as u64 }, now);
-        self.prober.wake(now.time);
+        self.prober.note_pause(now.time);
         // What was under way before the pause is void; its late answers are harmless, since the
         // fence takes nothing old, but waiting for them would delay the refresh.
         self.pulling = None;
-        let targets = self.roster.draw(FIRST_CONTACTS, &mut self.random, |r| r.state.takes_work());
+        let targets =
+            self.roster.sample(FIRST_CONTACTS, &mut self.random, |r| r.state.takes_work());
         for target in targets {
             self.send_beat(target, now);
         }
@@ -273,7 +274,7 @@
 
     fn answer(&mut self, request: Request, now: Now) {
         let response = match request {
-            Request::Beat(beat) => {
+            Request::Heartbeat(beat) => {
                 let (peer, members) = (beat.from.address, beat.members);
                 self.hear_beat(beat, now);
                 let mut reply = self.beat_for(peer, now);
@@ -281,7 +282,7 @@
                     // The asker holds the same records and needs none of them.
                     reply.rumours.clear();
                 }
-                Response::Beat(reply)
+                Response::Heartbeat(reply)
             }
             Request::Pull(pull) => Response::Pull(self.bundle(pull)),
             Request::Sync(sync) => Response::Sync(self.exchange(sync, now)),
@@ -293,8 +294,8 @@
 
     fn hear(&mut self, peer: SocketAddr, response: Response, now: Now) {
         match response {
-            Response::Beat(beat) => {
-                self.prober.succeed();
+            Response::Heartbeat(beat) => {
+                self.prober.note_success();
                 self.hear_beat(beat, now);
             }
             Response::Pull(bundle) => self.hear_bundle(peer, bundle, now),
@@ -303,29 +304,29 @@
         }
     }
 
-    fn lose(&mut self, peer: SocketAddr, lost: Lost, now: Now) {
+    fn lose(&mut self, peer: SocketAddr, lost: Error, now: Now) {
         if let Some(reason) = lost.malformed {
             self.note(Kind::BadMessage { peer, reason }, now);
         }
-        match lost.asked {
-            Asked::Beat => self.suspect(peer, now),
-            Asked::Pull => self.abandon_pull(peer, now),
-            Asked::Sync | Asked::Fetch => {}
+        match lost.method {
+            Method::Heartbeat => self.suspect(peer, now),
+            Method::Pull => self.abandon_pull(peer, now),
+            Method::Sync | Method::Fetch => {}
         }
     }
 
     /// Calls the platform if that is this node's duty now.
     fn call_source(&mut self, now: Now) {
-        if self.duty.role(self.rank, now.time) == Role::Idle {
+        if self.schedule.role(self.rank, now.time) == Role::Idle {
             return;
         }
-        let wait = source::WATCH;
-        if self.duty.begin(Topic::Config, now.time) {
+        let wait = source::WATCH_TIMEOUT;
+        if self.schedule.begin(Topic::Config, now.time) {
             let base = self.fence.held();
             let after = self.source_revision.max(base.unwrap_or(0));
             self.effects.push(Effect::Read(Query::Config { base, after, wait }));
         }
-        if self.duty.begin(Topic::List, now.time) {
+        if self.schedule.begin(Topic::List, now.time) {
             let after = self.listing_revision;
             self.effects.push(Effect::Read(Query::List { after, wait }));
         }
@@ -341,23 +342,23 @@
         Sender { address: own.address, incarnation: own.incarnation }
     }
 
-    fn beat(&mut self, now: Now) -> Beat {
-        Beat {
+    fn beat(&mut self, now: Now) -> Heartbeat {
+        Heartbeat {
             from: self.sender(),
             stamp: self.clock.stamp(now),
             version: self.fence.version(),
             members: self.roster.digest(),
-            contact: self.duty.contact(now.time),
+            contact: self.schedule.contact(now.time),
             data_centre: self.roster.own().data_centre.clone(),
             rumours: self.roster.take_rumours(),
-            reports: self.quarantine.tell(REPORTS_AT_ONCE, now.time),
+            reports: self.quarantine.next_reports(REPORTS_PER_MESSAGE, now.time),
         }
     }
 
     /// Returns a beat that also tells `peer` what is believed of it, if that is not the best.
     ///
     /// Only the node itself can end a suspicion, so it must hear of it.
-    fn beat_for(&mut self, peer: SocketAddr, now: Now) -> Beat {
+    fn beat_for(&mut self, peer: SocketAddr, now: Now) -> Heartbeat {
         let mut beat = self.beat(now);
         let believed = self.roster.get(peer).filter(|r| r.state != State::Live);
         if let Some(record) = believed.filter(|r| !beat.rumours.contains(r)).cloned() {
@@ -368,7 +369,7 @@
 
     fn send_beat(&mut self, target: SocketAddr, now: Now) {
         let beat = self.beat_for(target, now);
-        self.effects.push(Effect::Send(target, Request::Beat(beat), probe::TIMEOUT));
+        self.effects.push(Effect::Send(target, Request::Heartbeat(beat), probe::TIMEOUT));
     }
 
     /// Asks a few contacts for their records and their version.
@@ -395,13 +396,13 @@
         self.urgent = false;
         self.urgent_due = now.time + URGENT_INTERVAL;
         let weight = self.fence.snapshot().convergence_weight();
-        for target in self.plan_targets(0, weight) {
+        for target in self.dissemination_targets(0, weight) {
             self.send_beat(target, now);
         }
     }
 
     /// Tells the others which requests ran when the own upstream ended.
-    fn note_end(&mut self, loss: Loss, now: Now) {
+    fn note_end(&mut self, loss: Crash, now: Now) {
         self.quarantine.note_end(&loss, now.time);
         self.note(Kind::UpstreamEnded { requests: loss.labels() }, now);
         self.urgent = true;
@@ -412,7 +413,7 @@
         for change in changes {
             self.note(change.event(now.time), now);
         }
-        self.effects.push(Effect::Quarantine(self.quarantine.shown().clone()));
+        self.effects.push(Effect::Quarantine(self.quarantine.current().clone()));
     }
 
     /// Works out anew what depends on the table of nodes, if that has changed.
--- a/crates/fleet/src/control/fleet.rs
+++ b/crates/fleet/src/control/fleet.rs
@@ -6,8 +6,8 @@
 use crate::{
     clock::Now,
     member::{Record, State},
-    message::{Beat, Request, Sender, Sync},
-    roster::{Change, RECORDS_PER_SYNC, RUMOURS_PER_BEAT, Telling},
+    message::{Heartbeat, Request, Sender, Sync},
+    roster::{Change, Propagation, RECORDS_PER_SYNC, RUMOURS_PER_BEAT},
     source::Listing,
     timeline::Kind,
 };
@@ -20,14 +20,14 @@
 const SHRINK_LEAST: usize = 4;
 
 impl Control {
-    pub(super) fn hear_beat(&mut self, beat: Beat, now: Now) {
-        self.clock.hear(beat.stamp, now);
+    pub(super) fn hear_beat(&mut self, beat: Heartbeat, now: Now) {
+        self.clock.observe(beat.stamp, now);
         self.learn_all(beat.from.address, &beat.rumours, now);
-        self.urgent |= self.quarantine.hear(&beat.reports, now.time);
+        self.urgent |= self.quarantine.merge(&beat.reports, now.time);
         if let Some(contact) = beat.contact
             && beat.data_centre == self.roster.own().data_centre
         {
-            self.duty.hear(contact, now.time);
+            self.schedule.observe(contact, now.time);
         }
         self.hear_version(beat.from.address, beat.version, now);
         let known = self.roster.get(beat.from.address).map(|r| r.incarnation);
@@ -35,7 +35,7 @@
         if newer_life || beat.members != self.roster.digest() {
             self.start_sync(beat.from, now);
         } else {
-            self.roster.agree();
+            self.roster.note_agreement();
         }
     }
 
@@ -67,7 +67,7 @@
     }
 
     pub(super) fn suspect(&mut self, peer: SocketAddr, now: Now) {
-        if !self.prober.fail(now.time) {
+        if !self.prober.note_failure(now.time) {
             return;
         }
         match self.roster.get(peer).map(|r| r.state) {
@@ -81,7 +81,7 @@
     pub(super) fn judge(&mut self, peer: SocketAddr, state: State, now: Now) {
         let Some(old) = self.roster.get(peer) else { return };
         let record = Record { state, ..old.clone() };
-        self.learn(&record, Telling::Passed, now);
+        self.learn(&record, Propagation::Gossip, now);
     }
 
     /// Takes the records of a message into account; those that cannot be are reported.
@@ -90,10 +90,10 @@
     /// with beats as well would fill the beats of hundreds of nodes for ten minutes.
     fn learn_all(&mut self, peer: SocketAddr, records: &[Record], now: Now) {
         let bulk = records.len() > RUMOURS_PER_BEAT;
-        let telling = if bulk { Telling::Kept } else { Telling::Passed };
+        let propagation = if bulk { Propagation::Local } else { Propagation::Gossip };
         for record in records {
             match record.fault() {
-                None => self.learn(record, telling, now),
+                None => self.learn(record, propagation, now),
                 Some(reason) => {
                     self.note(Kind::BadMessage { peer, reason: reason.to_owned() }, now)
                 }
@@ -102,12 +102,12 @@
     }
 
     /// Takes one statement about a node into account.
-    pub(super) fn learn(&mut self, record: &Record, telling: Telling, now: Now) {
+    pub(super) fn learn(&mut self, record: &Record, propagation: Propagation, now: Now) {
         let before = self.roster.get(record.address).map(|r| (r.incarnation, r.state));
-        let change = self.roster.learn(record, telling, now.time);
+        let change = self.roster.learn(record, propagation, now.time);
         match change {
             Change::None => return,
-            Change::ToldToLeave => return self.leave(now),
+            Change::LeaveRequested => return self.leave(now),
             Change::Minor => {}
             Change::Major | Change::Refuted => self.urgent = true,
         }
@@ -161,7 +161,7 @@
             cov_mark::hit!(listing_shrinks);
             return;
         }
-        self.contacts.retain(|a| present.contains_key(a) || self.settings.contacts.contains(a));
+        self.contacts.retain(|a| present.contains_key(a) || self.settings.seeds.contains(a));
         self.listed = present;
         for (address, instance) in lost {
             let state = match self.roster.get(address) {
@@ -193,7 +193,7 @@
         self.view_stale = true;
         let kind = if state == State::Gone { Kind::Gone { peer } } else { Kind::Leaving { peer } };
         self.note(kind, now);
-        let targets = self.roster.draw(END_TARGETS, &mut self.random, |r| r.state.takes_work());
+        let targets = self.roster.sample(END_TARGETS, &mut self.random, |r| r.state.takes_work());
         for target in targets {
             self.send_beat(target, now);
         }
--- a/crates/fleet/src/control/port.rs
+++ b/crates/fleet/src/control/port.rs
@@ -7,7 +7,7 @@
     clock::{Now, Stamp},
     member::State,
     message::{Digest, Request, Response},
-    quarantine::{Loss, Quarantine},
+    quarantine::{Crash, Quarantine},
     source::{Answer, Query},
     status,
     timeline::{self, Kind},
@@ -20,21 +20,21 @@
     /// Time has passed; comes every 50 to 100 ms.
     Tick,
     /// The process did not run for the given time.
-    Woke(Duration),
+    Resumed(Duration),
     /// Another node asks; the reply is among the effects.
-    Asked(Request),
+    Request(Request),
     /// Another node's answer to a request of this node.
-    Answered(SocketAddr, Response),
+    Response(SocketAddr, Response),
     /// A request to another node failed.
-    Lost(SocketAddr, Lost),
+    Failed(SocketAddr, Error),
     /// Another node's summary.
-    Heard(Digest),
+    Digest(Digest),
     /// The platform's answer.
     Source(Answer),
     /// Something that traffic wants remembered.
     Note(Kind),
     /// The own upstream's process ended.
-    UpstreamEnded(Loss),
+    UpstreamEnded(Crash),
     /// The own upstream answered a request that is suspected of ending upstreams.
     Cleared(Fingerprint),
     /// The node is to take no more work.
@@ -45,18 +45,18 @@
 
 /// A request that got no usable answer.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Lost {
+pub struct Error {
     /// Which kind of request.
-    pub asked: Asked,
+    pub method: Method,
     /// What was wrong with the answer, if there was one.
     pub malformed: Option<String>,
 }
 
 /// Kinds of requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Asked {
+pub enum Method {
     /// A beat.
-    Beat,
+    Heartbeat,
     /// A pull.
     Pull,
     /// An exchange of records.
@@ -65,14 +65,14 @@
     Fetch,
 }
 
-impl Asked {
+impl Method {
     /// Returns the name used in metrics and events.
     pub fn name(self) -> &'static str {
         match self {
-            Asked::Beat => "beat",
-            Asked::Pull => "pull",
-            Asked::Sync => "sync",
-            Asked::Fetch => "fetch",
+            Method::Heartbeat => "beat",
+            Method::Pull => "pull",
+            Method::Sync => "sync",
+            Method::Fetch => "fetch",
         }
     }
 }
@@ -83,7 +83,7 @@
     /// Send a request and report what comes of it.
     Send(SocketAddr, Request, Duration),
     /// Send a summary to these nodes; nobody answers.
-    Tell(Vec<SocketAddr>, Digest),
+    Gossip(Vec<SocketAddr>, Digest),
     /// Answer the request that this call of `apply` was about.
     Reply(Response),
     /// Another revision of the configuration is the highest that this node holds or is going to.
--- a/crates/fleet/src/control/version.rs
+++ b/crates/fleet/src/control/version.rs
@@ -3,14 +3,14 @@
 use model::{config::Version, document::Set};
 use std::net::SocketAddr;
 
-use super::{Asked, Control, Effect, PULL_TIMEOUT};
+use super::{Control, Effect, Method, PULL_TIMEOUT};
 use crate::{
     catchup::Progress,
     clock::Now,
+    dissemination::Context,
     fence::Verdict,
     message::{Bundle, Pull, Request},
-    plan::Occasion,
-    source::{Answer, News, Topic},
+    source::{Answer, Freshness, Topic},
     timeline::Kind,
 };
 
@@ -21,7 +21,7 @@
     pub(super) fn hear_source(&mut self, answer: Answer, now: Now) {
         match answer {
             Answer::Config(delta) => {
-                self.succeed(Topic::Config, News::Some, now);
+                self.succeed(Topic::Config, Freshness::New, now);
                 self.note(Kind::Read { revision: delta.revision }, now);
                 self.source_revision = self.source_revision.max(delta.revision);
                 self.check_stale(delta.revision, now);
@@ -29,19 +29,19 @@
                 self.offer(set, None, now);
             }
             Answer::List(listing) => {
-                self.succeed(Topic::List, News::Some, now);
+                self.succeed(Topic::List, Freshness::New, now);
                 self.hear_listing(listing, now);
             }
             // Only a node in listed mode asks for both together.
-            Answer::News(_) => {}
+            Answer::Changes(_) => {}
             Answer::Unchanged(topic, revision) => {
-                self.succeed(topic, News::None, now);
+                self.succeed(topic, Freshness::Unchanged, now);
                 if topic == Topic::Config {
                     self.check_stale(revision, now);
                 }
             }
             Answer::Failed(topic, failure) => {
-                if self.duty.fail(topic, now.time, &mut self.random) {
+                if self.schedule.note_failure(topic, now.time, &mut self.random) {
                     self.note(Kind::SourceLost { reason: failure.to_string() }, now);
                 }
             }
@@ -50,7 +50,7 @@
 
     /// Notes that `peer` holds `version`, and pulls it if it is newer.
     pub(super) fn hear_version(&mut self, peer: SocketAddr, version: Version, now: Now) {
-        self.fence.hear(version.revision);
+        self.fence.observe(version.revision);
         let held = self.fence.version();
         if version.revision == held.revision && version.digest != held.digest {
             self.report_conflict(version, now);
@@ -89,12 +89,12 @@
             self.pulling = None;
         }
         self.lost_pulls = 0;
-        match self.draft.take(&self.fence, bundle) {
-            Progress::Whole(set) => {
+        match self.transfer.receive(&self.fence, bundle) {
+            Progress::Complete(set) => {
                 self.offers.remove(&peer);
                 self.offer(*set, Some(peer), now);
             }
-            Progress::Part => {
+            Progress::Partial => {
                 self.send_pull(peer);
                 return;
             }
@@ -114,7 +114,7 @@
         if self.pulling == Some(peer) {
             self.pulling = None;
             self.lost_pulls += 1;
-            self.draft.lose();
+            self.transfer.note_timeout();
             self.note_lost_pull(peer, now);
         }
         self.offers.remove(&peer);
@@ -125,14 +125,14 @@
     fn note_lost_pull(&mut self, peer: SocketAddr, now: Now) {
         let failures = self.lost_pulls;
         if failures.is_power_of_two() {
-            let asked = Asked::Pull.name().to_owned();
+            let asked = Method::Pull.name().to_owned();
             self.note(Kind::PullLost { peer, asked, failures }, now);
         }
     }
 
-    pub(super) fn plan_targets(&mut self, revision: u64, weight: u32) -> Vec<SocketAddr> {
-        let occasion = Occasion { roster: &self.roster, revision, weight };
-        self.settings.plan.targets(&occasion, &mut self.random)
+    pub(super) fn dissemination_targets(&mut self, revision: u64, weight: u32) -> Vec<SocketAddr> {
+        let context = Context { roster: &self.roster, revision, weight };
+        self.settings.dissemination.targets(&context, &mut self.random)
     }
 
     fn offer(&mut self, set: Set, from: Option<SocketAddr>, now: Now) {
@@ -140,7 +140,7 @@
             Verdict::InForce(snapshot) => {
                 let version = snapshot.version;
                 self.note(Kind::InForce { version, from }, now);
-                self.draft.clear();
+                self.transfer.clear();
                 let weight = snapshot.convergence_weight();
                 self.effects.push(Effect::InForce(snapshot));
                 self.announce(version, weight, now);
@@ -150,12 +150,12 @@
                 self.note(kind, now);
             }
             Verdict::Conflict(version) => self.report_conflict(version, now),
-            Verdict::NotNewer | Verdict::KnownBad => {}
+            Verdict::NotNewer | Verdict::AlreadyRejected => {}
         }
     }
 
     fn announce(&mut self, version: Version, weight: u32, now: Now) {
-        let targets = self.plan_targets(version.revision, weight);
+        let targets = self.dissemination_targets(version.revision, weight);
         if targets.is_empty() {
             return;
         }
@@ -167,7 +167,7 @@
 
     fn send_pull(&mut self, peer: SocketAddr) {
         self.pulling = Some(peer);
-        let pull = self.draft.pull(&self.fence);
+        let pull = self.transfer.pull(&self.fence);
         self.effects.push(Effect::Send(peer, Request::Pull(pull), PULL_TIMEOUT));
     }
 
@@ -187,8 +187,8 @@
         self.stale_source = stale;
     }
 
-    fn succeed(&mut self, topic: Topic, news: News, now: Now) {
-        if self.duty.succeed(topic, news, self.rank, now.time) {
+    fn succeed(&mut self, topic: Topic, freshness: Freshness, now: Now) {
+        if self.schedule.note_success(topic, freshness, self.rank, now.time) {
             self.note(Kind::SourceBack, now);
         }
     }
--- a/crates/fleet/src/directory.rs
+++ b/crates/fleet/src/directory.rs
@@ -88,7 +88,7 @@
     pub revision: u64,
     /// How much longer the removal is in doubt, in ms; see [`Directory::apply`].
     #[serde(default, rename = "h")]
-    pub doubt_ms: u64,
+    pub grace_ms: u64,
     /// Why it is not listed.
     #[serde(default, rename = "y")]
     pub reason: Reason,
@@ -149,7 +149,7 @@
     /// It is to leave.
     Leaving,
     /// It is no longer listed, which may be an effect of an outage.
-    Doubted,
+    RemovalPending,
     /// It is gone.
     Gone,
     /// Something else about it changed.
@@ -163,7 +163,7 @@
             Change::Listed => "listed",
             Change::Restarted => "restarted",
             Change::Leaving => "leaving",
-            Change::Doubted => "doubted",
+            Change::RemovalPending => "doubted",
             Change::Gone => "gone",
             Change::Revised => "revised",
         }
@@ -292,13 +292,13 @@
         let doubted = self.doubts.iter().map(|(id, doubt)| Removal {
             id: id.clone(),
             revision: doubt.revision,
-            doubt_ms: doubt.until.since(now).as_millis() as u64,
+            grace_ms: doubt.until.since(now).as_millis() as u64,
             ..Removal::default()
         });
         let buried = self.tombstones.iter().map(|(id, tombstone)| Removal {
             id: id.clone(),
             revision: tombstone.revision,
-            doubt_ms: 0,
+            grace_ms: 0,
             reason: tombstone.reason,
             started_ms: tombstone.started_ms,
         });
@@ -354,7 +354,7 @@
 
     fn remove(&mut self, removal: &Removal, doubt: Duration, now: Time) -> Option<(Entry, Change)> {
         let doubt = match removal.reason {
-            Reason::Dropped => doubt.max(Duration::from_millis(removal.doubt_ms)),
+            Reason::Dropped => doubt.max(Duration::from_millis(removal.grace_ms)),
             Reason::Unusable => Duration::ZERO,
         };
         match self.entries.get(&removal.id) {
@@ -364,7 +364,7 @@
                 let doubt = self.doubts.entry(removal.id.clone());
                 let doubt = doubt.or_insert(Doubt { revision: removal.revision, until });
                 doubt.until = doubt.until.min(until);
-                Some((entry.clone(), Change::Doubted))
+                Some((entry.clone(), Change::RemovalPending))
             }
             _ => self.bury(removal, now),
         }
--- a/crates/fleet/src/plan.rs
+++ b/crates/fleet/src/dissemination.rs
@@ -14,7 +14,7 @@
 };
 
 /// What a plan may look at.
-pub struct Occasion<'a> {
+pub struct Context<'a> {
     /// All known nodes.
     pub roster: &'a Roster,
     /// Revision that is new here.
@@ -24,9 +24,9 @@
 }
 
 /// A way of passing on a new version.
-pub trait Plan: Send {
+pub trait Strategy: Send {
     /// Returns the nodes to announce the version to.
-    fn targets(&self, occasion: &Occasion<'_>, random: &mut SmallRng) -> Vec<SocketAddr>;
+    fn targets(&self, context: &Context<'_>, random: &mut SmallRng) -> Vec<SocketAddr>;
 }
 
 /// Announces to random nodes, most of them in the own data centre, and to the next one in a ring.
@@ -37,32 +37,32 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Epidemic {
     /// Random targets in the own data centre at weight 0.
-    pub near_least: usize,
+    pub min_local: usize,
     /// Random targets in the own data centre at weight 100.
-    pub near_most: usize,
+    pub max_local: usize,
     /// Random targets in other data centres.
-    pub far: usize,
+    pub remote: usize,
     /// Next nodes in the ring of the own data centre.
     pub successors: usize,
 }
 
 impl Default for Epidemic {
     fn default() -> Self {
-        Epidemic { near_least: 1, near_most: 4, far: 1, successors: 1 }
+        Epidemic { min_local: 1, max_local: 4, remote: 1, successors: 1 }
     }
 }
 
-impl Plan for Epidemic {
-    fn targets(&self, occasion: &Occasion<'_>, random: &mut SmallRng) -> Vec<SocketAddr> {
-        let own = occasion.roster.own();
-        let span = self.near_most - self.near_least;
-        let near = self.near_least + span * occasion.weight.min(100) as usize / 100;
+impl Strategy for Epidemic {
+    fn targets(&self, context: &Context<'_>, random: &mut SmallRng) -> Vec<SocketAddr> {
+        let own = context.roster.own();
+        let span = self.max_local - self.min_local;
+        let near = self.min_local + span * context.weight.min(100) as usize / 100;
         let is_near = |r: &Record| r.state != State::Gone && r.data_centre == own.data_centre;
         let is_far = |r: &Record| r.state.takes_work() && r.data_centre != own.data_centre;
-        let mut targets = successors(occasion.roster, self.successors);
+        let mut targets = successors(context.roster, self.successors);
         let fresh = |r: &Record| is_near(r) && !targets.contains(&r.address);
-        let mut drawn = occasion.roster.draw(near, random, fresh);
-        drawn.extend(occasion.roster.draw(self.far, random, is_far));
+        let mut drawn = context.roster.sample(near, random, fresh);
+        drawn.extend(context.roster.sample(self.remote, random, is_far));
         targets.append(&mut drawn);
         targets
     }
@@ -90,13 +90,13 @@
     }
 }
 
-impl Plan for Tree {
-    fn targets(&self, occasion: &Occasion<'_>, _random: &mut SmallRng) -> Vec<SocketAddr> {
-        let live = occasion.roster.iter().filter(|r| r.state.takes_work());
+impl Strategy for Tree {
+    fn targets(&self, context: &Context<'_>, _random: &mut SmallRng) -> Vec<SocketAddr> {
+        let live = context.roster.iter().filter(|r| r.state.takes_work());
         let mut order: Vec<(u64, SocketAddr)> =
-            live.map(|r| (order_of(r.address, occasion.revision), r.address)).collect();
+            live.map(|r| (order_of(r.address, context.revision), r.address)).collect();
         order.sort();
-        let own = occasion.roster.own().address;
+        let own = context.roster.own().address;
         let place = order.iter().position(|&(_, address)| address == own).unwrap_or(0);
         let first = place * self.arity + 1;
         order.iter().skip(first).take(self.arity).map(|&(_, address)| address).collect()
@@ -107,8 +107,8 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Pull;
 
-impl Plan for Pull {
-    fn targets(&self, _occasion: &Occasion<'_>, _random: &mut SmallRng) -> Vec<SocketAddr> {
+impl Strategy for Pull {
+    fn targets(&self, _occasion: &Context<'_>, _random: &mut SmallRng) -> Vec<SocketAddr> {
         Vec::new()
     }
 }
--- a/crates/fleet/src/evacuation.rs
+++ b/crates/fleet/src/evacuation.rs
@@ -8,7 +8,7 @@
 use std::{collections::BTreeMap, ops::Not};
 
 /// Most data centres whose orders are remembered; bounds memory and whole copies of the list.
-pub const ORDERS_MOST: usize = 256;
+pub const MAX_ORDERS: usize = 256;
 
 /// The latest order about one data centre.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
@@ -94,7 +94,7 @@
 
     /// Returns whether one more data centre can be remembered; forgets the oldest withdrawal if need be.
     fn make_room(&mut self) -> bool {
-        if self.latest.len() < ORDERS_MOST {
+        if self.latest.len() < MAX_ORDERS {
             return true;
         }
         let withdrawn = self.latest.values().filter(|order| order.withdrawn);
--- a/crates/fleet/src/fence.rs
+++ b/crates/fleet/src/fence.rs
@@ -40,7 +40,7 @@
     /// It is not acceptable; the former version stays in force.
     Rejected(Rejection),
     /// It was rejected before.
-    KnownBad,
+    AlreadyRejected,
 }
 
 /// The expected revision, as traffic was told of it.
@@ -78,7 +78,7 @@
     }
 
     /// Notes that another node holds `revision`.
-    pub fn hear(&mut self, revision: u64) {
+    pub fn observe(&mut self, revision: u64) {
         self.heard = self.heard.max(revision);
     }
 
@@ -86,7 +86,7 @@
     ///
     /// A version may end with the only node that held it; callers would be told to come back for it
     /// for ever.
-    pub fn hear_anew(&mut self, revision: u64) {
+    pub fn reset_observed(&mut self, revision: u64) {
         self.heard = revision;
     }
 
@@ -100,7 +100,7 @@
     /// ```
     /// use fleet::fence::Fence;
     /// let mut fence = Fence::default();
-    /// fence.hear(7);
+    /// fence.observe(7);
     /// assert_eq!((fence.version().revision, fence.known()), (0, 7));
     /// ```
     pub fn known(&self) -> u64 {
@@ -176,7 +176,7 @@
             return Verdict::NotNewer;
         }
         if self.rejected.iter().any(|r| r.version == version) {
-            return Verdict::KnownBad;
+            return Verdict::AlreadyRejected;
         }
         match config::accept_after(&self.snapshot, &set) {
             Ok(snapshot) => {
--- a/crates/fleet/src/listed.rs
+++ b/crates/fleet/src/listed.rs
@@ -28,15 +28,15 @@
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
 use crate::{
-    catchup::{Draft, Progress},
+    catchup::{Progress, Transfer},
     clock::{Clock, Now, Stamp},
-    control::{Asked, Effect, Event, Machine},
+    control::{Effect, Event, Machine, Method},
     directory::Directory,
     fence::{Announced, Fence},
     listed::{peers::Peers, pull::Pulls, watch::Watch},
     member::State,
-    message::{Bundle, Digest, News, Request, Response, Sender},
-    quarantine::{REPORTS_A_SUMMARY, Register},
+    message::{Bundle, Digest, Piggyback, Request, Response, Sender},
+    quarantine::{REPORTS_PER_DIGEST, Register},
     source::Query,
     status,
     timeline::{Event as Note, Kind, Ring},
@@ -120,7 +120,7 @@
     ring: Ring,
     random: SmallRng,
     fence: Fence,
-    draft: Draft,
+    transfer: Transfer,
     directory: Directory,
     watch: Watch,
     peers: Peers,
@@ -152,7 +152,7 @@
             ring: Ring::default(),
             random,
             fence: Fence::default(),
-            draft: Draft::default(),
+            transfer: Transfer::default(),
             directory: Directory::default(),
             watch: Watch::new(settings.reading, first_call),
             peers: Peers::new(settings.address, settings.link_mbps, settings.data_centre.clone()),
@@ -180,15 +180,15 @@
     pub fn apply(&mut self, event: Event, now: Now) -> Vec<Effect> {
         match event {
             Event::Tick => self.tick(now),
-            Event::Woke(pause) => self.wake(pause, now),
-            Event::Heard(digest) => self.hear(digest, now),
-            Event::Asked(request) => self.answer(request, now),
-            Event::Answered(peer, response) => self.take(peer, response, now),
-            Event::Lost(peer, lost) => {
+            Event::Resumed(pause) => self.wake(pause, now),
+            Event::Digest(digest) => self.hear(digest, now),
+            Event::Request(request) => self.answer(request, now),
+            Event::Response(peer, response) => self.take(peer, response, now),
+            Event::Failed(peer, lost) => {
                 if let Some(reason) = lost.malformed {
                     self.note(Kind::BadMessage { peer, reason }, now);
                 }
-                self.lose(lost.asked, peer, now);
+                self.lose(lost.method, peer, now);
             }
             Event::Source(answer) => self.hear_source(answer, now),
             Event::Note(kind) => self.note(kind, now),
@@ -228,7 +228,7 @@
             let changes = self.directory.expire(now.time);
             self.note_changes(changes, None, now);
             self.peers.prune(now.time);
-            self.fence.hear_anew(self.peers.known_config(now.time));
+            self.fence.reset_observed(self.peers.known_config(now.time));
             // Silence has no event of its own.
             self.view_stale |= self.peers.look(now.time);
         }
@@ -243,7 +243,7 @@
         if self.fence.held().is_none() || self.watch.is_due(rank, readers, spread, now.time) {
             let wait = self.watch.begin(self.peers.is_empty());
             let after = self.read_to.map(|read| read.max(self.held()));
-            self.effects.push(Effect::Read(Query::News { after, wait }));
+            self.effects.push(Effect::Read(Query::Changes { after, wait }));
         }
     }
 
@@ -266,15 +266,15 @@
         if let Some(age) = digest.contact_ms {
             self.watch.hear(Duration::from_millis(age), now.time);
         }
-        self.fence.hear(digest.config);
-        let (from, news) = (digest.from.address, std::mem::take(&mut digest.news));
+        self.fence.observe(digest.config);
+        let (from, piggyback) = (digest.from.address, std::mem::take(&mut digest.piggyback));
         let reports = std::mem::take(&mut digest.reports);
         let is_newcomer = digest.from.incarnation > self.peers.incarnation(from);
         if self.peers.hear(digest, now.time) {
             self.view_stale = true;
         }
-        self.hear_news(news, from, now);
-        self.quarantine.hear(&reports, now.time);
+        self.hear_piggyback(piggyback, from, now);
+        self.quarantine.merge(&reports, now.time);
         if is_newcomer {
             self.tell_newcomer(from, now);
         }
@@ -285,7 +285,7 @@
             Request::Pull(pull) => Response::Pull(self.fence.answer(&pull)),
             Request::Fetch(fetch) => Response::Fetch(self.directory.since(fetch.have, now.time)),
             // Beats and exchanges of records belong to the mode without a list.
-            Request::Beat(_) | Request::Sync(_) => return,
+            Request::Heartbeat(_) | Request::Sync(_) => return,
         };
         self.effects.push(Effect::Reply(response));
     }
@@ -297,7 +297,7 @@
                 self.pulls.list.end(peer);
                 self.merge(update, Some(peer), Duration::ZERO, now);
             }
-            Response::Beat(_) | Response::Sync(_) => {}
+            Response::Heartbeat(_) | Response::Sync(_) => {}
         }
     }
 
@@ -305,11 +305,11 @@
         if !self.pulls.config.end(peer) {
             return;
         }
-        match self.draft.take(&self.fence, bundle) {
-            Progress::Whole(set) => {
+        match self.transfer.receive(&self.fence, bundle) {
+            Progress::Complete(set) => {
                 self.offer(*set, Some(peer), now);
             }
-            Progress::Part => self.pulls.config.go_on_with(peer),
+            Progress::Partial => self.pulls.config.go_on_with(peer),
             Progress::Stale => self.pulls.config.avoid(peer, now.time),
             Progress::Unusable => {
                 let reason = "the documents do not have the announced digest".to_owned();
@@ -324,7 +324,7 @@
         if !self.awaits_platform(now) {
             let (peers, fence) = (&self.peers, &self.fence);
             let peer = self.pulls.next_config(peers, fence, now.time, &mut self.random);
-            let next = peer.map(|peer| (peer, Request::Pull(self.draft.pull(fence))));
+            let next = peer.map(|peer| (peer, Request::Pull(self.transfer.pull(fence))));
             self.send_pull(next);
         }
         let held = self.directory.revision();
@@ -333,14 +333,14 @@
     }
 
     /// Takes into account that `peer` did not answer a pull in time.
-    fn lose(&mut self, asked: Asked, peer: SocketAddr, now: Now) {
-        if asked == Asked::Pull {
-            self.draft.lose();
+    fn lose(&mut self, method: Method, peer: SocketAddr, now: Now) {
+        if method == Method::Pull {
+            self.transfer.note_timeout();
         }
-        let failures = self.pulls.fail(asked, peer, now.time);
+        let failures = self.pulls.fail(method, peer, now.time);
         // A night of failures must not push everything else out of the ring.
         if failures.is_power_of_two() {
-            let asked = asked.name().to_owned();
+            let asked = method.name().to_owned();
             self.note(Kind::PullLost { peer, asked, failures }, now);
         }
     }
@@ -379,17 +379,17 @@
     }
 
     fn tell(&mut self, targets: Vec<SocketAddr>, now: Now) {
-        self.tell_news(targets, News::default(), now);
+        self.tell_news(targets, Piggyback::default(), now);
     }
 
-    fn tell_news(&mut self, targets: Vec<SocketAddr>, news: News, now: Now) {
+    fn tell_news(&mut self, targets: Vec<SocketAddr>, piggyback: Piggyback, now: Now) {
         if targets.is_empty() {
             return;
         }
         let (heard_ms, rumours) = self.peers.hearsay(now.time);
-        let reports = self.quarantine.tell(REPORTS_A_SUMMARY, now.time);
-        let digest = Digest { heard_ms, rumours, news, reports, ..self.digest(now) };
-        self.effects.push(Effect::Tell(targets, digest));
+        let reports = self.quarantine.next_reports(REPORTS_PER_DIGEST, now.time);
+        let digest = Digest { heard_ms, rumours, piggyback, reports, ..self.digest(now) };
+        self.effects.push(Effect::Gossip(targets, digest));
     }
 
     /// Returns a summary of what this node holds, and nothing of others.
@@ -405,7 +405,7 @@
             leaving: self.leaving,
             heard_ms: BTreeMap::new(),
             rumours: Vec::new(),
-            news: News::default(),
+            piggyback: Piggyback::default(),
             reports: Vec::new(),
         }
     }
--- a/crates/fleet/src/listed/changes.rs
+++ b/crates/fleet/src/listed/changes.rs
@@ -45,7 +45,7 @@
     fn note_cold(&mut self, entry: &Entry, change: Change, now: Time) {
         match change {
             // What it wrote before is all that is known of it.
-            Change::Doubted => {}
+            Change::RemovalPending => {}
             _ if change == Change::Gone || entry.cold_ms == 0 => {
                 self.cold_until.remove(&entry.id);
             }
--- a/crates/fleet/src/listed/ends.rs
+++ b/crates/fleet/src/listed/ends.rs
@@ -8,12 +8,12 @@
     control::Effect,
     listed::{Control, FAR_AUDIENCE},
     message::Digest,
-    quarantine::{Loss, Report},
+    quarantine::{Crash, Report},
     timeline::Kind,
 };
 
 impl Control {
-    pub(super) fn note_end(&mut self, loss: Loss, now: Now) {
+    pub(super) fn note_end(&mut self, loss: Crash, now: Now) {
         self.quarantine.note_end(&loss, now.time);
         self.note(Kind::UpstreamEnded { requests: loss.labels() }, now);
         self.tell_ends(now);
@@ -28,14 +28,14 @@
     /// time that a call takes, and so may this node.
     fn tell_ends(&mut self, now: Now) {
         let targets = self.peers.first_audience(FAR_AUDIENCE, &mut self.random);
-        let found = self.quarantine.tell_at_once(now.time);
+        let found = self.quarantine.urgent_reports(now.time);
         self.tell_reports(targets, found, now);
     }
 
     fn tell_reports(&mut self, targets: Vec<SocketAddr>, groups: Vec<Vec<Report>>, now: Now) {
         for reports in groups {
             let digest = Digest { reports, ..self.digest(now) };
-            self.effects.push(Effect::Tell(targets.clone(), digest));
+            self.effects.push(Effect::Gossip(targets.clone(), digest));
         }
     }
 
@@ -44,13 +44,13 @@
         for change in changes {
             self.note(change.event(now.time), now);
         }
-        self.effects.push(Effect::Quarantine(self.quarantine.shown().clone()));
+        self.effects.push(Effect::Quarantine(self.quarantine.current().clone()));
     }
 
     /// Tells a node that has just started what must not run: the first request that it is asked for may be such
     /// a one.
     pub(super) fn tell_newcomer(&mut self, node: SocketAddr, now: Now) {
-        let held = self.quarantine.tell_newcomer(now.time);
+        let held = self.quarantine.joiner_reports(now.time);
         self.tell_reports(vec![node], held, now);
     }
 }
--- a/crates/fleet/src/listed/known.rs
+++ b/crates/fleet/src/listed/known.rs
@@ -78,7 +78,7 @@
             state: self.state_of(entry, now),
             slots: entry.slots,
             cold_until: self.cold_until.get(&entry.id).copied().unwrap_or_default(),
-            taken_back: self.taken_back.get(&entry.data_centre).copied(),
+            readmitted_at: self.taken_back.get(&entry.data_centre).copied(),
         }
     }
 
--- a/crates/fleet/src/listed/news.rs
+++ b/crates/fleet/src/listed/news.rs
@@ -8,8 +8,8 @@
     directory::Update,
     fence::Verdict,
     listed::{Control, DOUBT, FAR_AUDIENCE, NEWS_BYTES, NEWS_CHANGES, PASSED_ON},
-    message::{News, Patch},
-    source::{Answer, Bulletin, Failure, Query},
+    message::{Patch, Piggyback},
+    source::{Answer, Changeset, Failure, Query},
     timeline::Kind,
 };
 
@@ -23,13 +23,13 @@
 impl Control {
     pub(super) fn hear_source(&mut self, answer: Answer, now: Now) {
         match answer {
-            Answer::News(bulletin) => self.hear_bulletin(bulletin, now),
-            Answer::Failed(_, Failure::Forgotten) => {
+            Answer::Changes(changeset) => self.hear_changeset(changeset, now),
+            Answer::Failed(_, Failure::Compacted) => {
                 // An answer, if a useless one: the whole must be read again.
                 self.succeed(false, now);
                 self.read_to = None;
                 let wait = self.watch.begin(false);
-                let query = Query::News { after: None, wait };
+                let query = Query::Changes { after: None, wait };
                 self.effects.push(Effect::Read(query));
             }
             Answer::Failed(_, failure) => {
@@ -41,21 +41,21 @@
         }
     }
 
-    fn hear_bulletin(&mut self, bulletin: Bulletin, now: Now) {
-        let has_news = bulletin.config.is_some() || !bulletin.list.is_empty();
+    fn hear_changeset(&mut self, changeset: Changeset, now: Now) {
+        let has_news = changeset.config.is_some() || !changeset.list.is_empty();
         self.succeed(has_news, now);
-        for fault in bulletin.faults {
+        for fault in changeset.faults {
             self.note(Kind::SourceFault { fault }, now);
         }
         let doubt = self.watch.doubt(DOUBT, now.time);
         let before = self.holdings();
-        let mut is_new = self.merge(bulletin.list, None, doubt, now);
-        if let Some(delta) = bulletin.config {
+        let mut is_new = self.merge(changeset.list, None, doubt, now);
+        if let Some(delta) = changeset.config {
             self.note(Kind::Read { revision: delta.revision }, now);
             let set = self.fence.with(delta);
             is_new |= self.offer(set, None, now);
         }
-        self.read_to = self.read_to.max(Some(bulletin.revision));
+        self.read_to = self.read_to.max(Some(changeset.revision));
         if is_new {
             let targets = self.peers.audience(FAR_AUDIENCE, &mut self.random);
             self.tell_since(before, targets, now);
@@ -64,16 +64,16 @@
 
     /// Takes in the changes that came with a summary of `from`, if they follow on what is held here. Where
     /// they do not, the summary tells how far that node is, and what is lacking is pulled.
-    pub(super) fn hear_news(&mut self, news: News, from: SocketAddr, now: Now) {
+    pub(super) fn hear_piggyback(&mut self, piggyback: Piggyback, from: SocketAddr, now: Now) {
         let held = self.directory.revision();
         let follows = |update: &Update| {
             update.revision > held && update.base.is_some_and(|base| (1..=held).contains(&base))
         };
-        if let Some(update) = news.list.filter(|update| follows(update)) {
+        if let Some(update) = piggyback.list.filter(|update| follows(update)) {
             self.merge(*update, Some(from), Duration::ZERO, now);
         }
         let in_force = self.fence.held();
-        if let Some(patch) = news.config.filter(|patch| Some(patch.base) == in_force) {
+        if let Some(patch) = piggyback.config.filter(|patch| Some(patch.base) == in_force) {
             let set = self.fence.with(patch.delta);
             // What the digest does not prove is no more than a hint; it is pulled.
             if set.version() == patch.version {
@@ -89,8 +89,8 @@
     /// Tells `targets` what has come in since `before`, if it is little, and that it has come.
     fn tell_since(&mut self, before: Holdings, targets: Vec<SocketAddr>, now: Now) {
         let list = self.list_since(before, now).map(Box::new);
-        let news = News { list, config: self.config_since(before) };
-        self.tell_news(targets, news, now);
+        let piggyback = Piggyback { list, config: self.config_since(before) };
+        self.tell_news(targets, piggyback, now);
     }
 
     fn list_since(&self, before: Holdings, now: Now) -> Option<Update> {
@@ -153,7 +153,7 @@
         match self.fence.offer(set) {
             Verdict::InForce(snapshot) => {
                 self.note(Kind::InForce { version: snapshot.version, from }, now);
-                self.draft.clear();
+                self.transfer.clear();
                 self.effects.push(Effect::InForce(snapshot));
                 if from.is_some() {
                     let targets = self.peers.some(PASSED_ON, &mut self.random);
@@ -170,7 +170,7 @@
                 self.note(Kind::Conflict { held: self.fence.version(), offered }, now);
                 false
             }
-            Verdict::NotNewer | Verdict::KnownBad => false,
+            Verdict::NotNewer | Verdict::AlreadyRejected => false,
         }
     }
 }
--- a/crates/fleet/src/listed/peers.rs
+++ b/crates/fleet/src/listed/peers.rs
@@ -17,7 +17,7 @@
         rounds::{self, Rounds, Target},
         rumours::Rumours,
     },
-    message::{Digest, News, Rumour},
+    message::{Digest, Piggyback, Rumour},
     source,
 };
 
@@ -229,7 +229,7 @@
         let digest = Digest {
             heard_ms: BTreeMap::new(),
             rumours: Vec::new(),
-            news: News::default(),
+            piggyback: Piggyback::default(),
             reports: Vec::new(),
             ..digest
         };
--- a/crates/fleet/src/listed/pull.rs
+++ b/crates/fleet/src/listed/pull.rs
@@ -5,7 +5,7 @@
 use std::{net::SocketAddr, time::Duration};
 
 use crate::{
-    control::Asked,
+    control::Method,
     fence::Fence,
     listed::peers::{Peers, Trust},
     message::{Digest, Fetch, Request},
@@ -135,11 +135,11 @@
     }
 
     /// Notes that `peer` did not answer; returns how many pulls in a row brought no answer.
-    pub(super) fn fail(&mut self, asked: Asked, peer: SocketAddr, now: Time) -> u32 {
-        match asked {
-            Asked::Pull => self.config.fail(peer, now),
-            Asked::Fetch => self.list.fail(peer, now),
-            Asked::Beat | Asked::Sync => 0,
+    pub(super) fn fail(&mut self, method: Method, peer: SocketAddr, now: Time) -> u32 {
+        match method {
+            Method::Pull => self.config.fail(peer, now),
+            Method::Fetch => self.list.fail(peer, now),
+            Method::Heartbeat | Method::Sync => 0,
         }
     }
 }
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -1,6 +1,6 @@
 //! What is known of one node, and which of two statements about it holds.
 //!
-//! Statements reach a node in any order and more than once. [`Record::beats`] is a total order on
+//! Statements reach a node in any order and more than once. [`Record::supersedes`] is a total order on
 //! the statements about one address, so that all nodes end up with the same one.
 
 use model::read::is_name;
@@ -77,7 +77,7 @@
     /// whatever its sequence: an old "live" that is still on its way cannot revive a node that
     /// said that it leaves. Otherwise the node's own later word wins, and of two statements with
     /// the same sequence the graver one.
-    pub fn beats(&self, other: &Record) -> bool {
+    pub fn supersedes(&self, other: &Record) -> bool {
         self.rank() > other.rank()
     }
 
--- a/crates/fleet/src/message.rs
+++ b/crates/fleet/src/message.rs
@@ -26,7 +26,7 @@
 
 /// Proof of life with a summary of what the sender holds; sent as probe, announcement and reply.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Beat {
+pub struct Heartbeat {
     /// Who speaks.
     #[serde(rename = "f")]
     pub from: Sender,
@@ -131,8 +131,8 @@
     #[serde(default, rename = "r", skip_serializing_if = "Vec::is_empty")]
     pub rumours: Vec<Rumour>,
     /// What the sender has just learnt, if that is little.
-    #[serde(default, rename = "n", skip_serializing_if = "News::is_empty")]
-    pub news: News,
+    #[serde(default, rename = "n", skip_serializing_if = "Piggyback::is_empty")]
+    pub piggyback: Piggyback,
     /// Requests under which upstreams ended.
     #[serde(default, rename = "q", skip_serializing_if = "Vec::is_empty")]
     pub reports: Vec<Report>,
@@ -151,7 +151,7 @@
 
 /// Small changes that travel with a summary, so that nobody has to ask for them.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct News {
+pub struct Piggyback {
     /// Changes of the list of upstreams.
     #[serde(default, rename = "l", skip_serializing_if = "Option::is_none")]
     pub list: Option<Box<Update>>,
@@ -160,7 +160,7 @@
     pub config: Option<Patch>,
 }
 
-impl News {
+impl Piggyback {
     /// Tells whether nothing is told.
     pub fn is_empty(&self) -> bool {
         self.list.is_none() && self.config.is_none()
@@ -185,7 +185,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Request {
     /// Probe or announcement.
-    Beat(Beat),
+    Heartbeat(Heartbeat),
     /// Asks for the configuration.
     Pull(Pull),
     /// Exchanges records.
@@ -198,7 +198,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Response {
     /// Answer to a probe or announcement.
-    Beat(Beat),
+    Heartbeat(Heartbeat),
     /// The configuration.
     Pull(Bundle),
     /// Records.
--- a/crates/fleet/src/probe.rs
+++ b/crates/fleet/src/probe.rs
@@ -75,18 +75,18 @@
     }
 
     /// Notes an answered probe.
-    pub fn succeed(&mut self) {
+    pub fn note_success(&mut self) {
         self.score = self.score.saturating_sub(1);
     }
 
     /// Notes a failed probe; returns whether the failure may be held against the other node.
-    pub fn fail(&mut self, now: Time) -> bool {
+    pub fn note_failure(&mut self, now: Time) -> bool {
         self.score = (self.score + 1).min(SCORE_LIMIT);
         now >= self.doubt_until
     }
 
     /// Notes that this process was paused: it refreshes its view before it judges others.
-    pub fn wake(&mut self, now: Time) {
+    pub fn note_pause(&mut self, now: Time) {
         cov_mark::hit!(doubt_after_pause);
         self.doubt_until = now + DOUBT;
         self.due = now;
@@ -127,7 +127,7 @@
 /// Without this, two halves that were cut apart for longer than the suspicion would each hold the
 /// other for unreachable for good.
 fn distant(roster: &Roster, contacts: &[SocketAddr], random: &mut SmallRng) -> Option<SocketAddr> {
-    let mut all = roster.draw(1, random, |r| r.state == State::Unreachable);
+    let mut all = roster.sample(1, random, |r| r.state == State::Unreachable);
     let unknown =
         contacts.iter().filter(|&&a| roster.get(a).is_none_or(|r| r.state == State::Gone));
     all.extend(unknown.copied());
--- a/crates/fleet/src/quarantine.rs
+++ b/crates/fleet/src/quarantine.rs
@@ -4,7 +4,7 @@
 //! upstream ends as well, until none is left. No single node sees more than its own upstream's end,
 //! and every call that ran there beside the guilty one broke in the same moment. So each node says
 //! which requests ran when its upstream ended, all nodes hold the same [`Register`] of them, and a
-//! request under which [`ENDS_MOST`] upstreams ended is not run for a while.
+//! request under which [`ENDS_THRESHOLD`] upstreams ended is not run for a while.
 //!
 //! Two things tell the cause from what merely ran beside it:
 //!
@@ -34,26 +34,26 @@
 ///
 /// One or two are met by chance: a call that is lost with its upstream is repeated at another one, which
 /// may be part of the same outage.
-pub const ENDS_MOST: usize = 3;
+pub const ENDS_THRESHOLD: usize = 3;
 
 /// Most requests that are remembered, at some 150 bytes each. Every end of an upstream adds those that ran
 /// there, a few dozen at most.
-const CASES_MOST: usize = 512;
+const MAX_CASES: usize = 512;
 
 /// Most reports of a summary, which is one packet and tells much else.
-pub const REPORTS_A_SUMMARY: usize = 3;
+pub const REPORTS_PER_DIGEST: usize = 3;
 
 /// Most reports of a message that tells little else, or is not bound to one packet.
-pub const REPORTS_AT_ONCE: usize = 6;
+pub const REPORTS_PER_MESSAGE: usize = 6;
 
 /// Most quarantined requests that a node that has just started is told of at once by each other one.
-const NEWCOMER_MOST: usize = 60;
+const MAX_JOINER_REPORTS: usize = 60;
 
 /// Summaries in which a node tells a change, each to several others, who tell it on.
-const TELLINGS: u32 = 6;
+const TRANSMISSIONS: u32 = 6;
 
 /// The same of a first end: most requests that ran when an upstream ended are not the cause of it.
-const FIRST_TELLINGS: u32 = 2;
+const FIRST_END_TRANSMISSIONS: u32 = 2;
 
 /// The end of an upstream's process, by a number drawn by the node beside it.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
@@ -61,14 +61,14 @@
 
 /// The own upstream's process has ended.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Loss {
+pub struct Crash {
     /// Which end; one may be told of in parts.
     pub end: End,
     /// What ran.
     pub suspects: Vec<Suspect>,
 }
 
-impl Loss {
+impl Crash {
     /// Returns what operators read of what ran: the fingerprint of each request, method, host and path.
     pub(crate) fn labels(&self) -> Vec<String> {
         let label = |suspect: &Suspect| format!("{} {}", suspect.request, suspect.label);
@@ -141,24 +141,24 @@
     /// The case that was told last, in turn.
     turn: Option<Fingerprint>,
     changed: bool,
-    shown: Arc<Quarantine>,
+    current: Arc<Quarantine>,
 }
 
 impl Register {
     /// Notes that the own upstream ended at `now`.
     ///
     /// ```
-    /// use fleet::quarantine::{End, Loss, Register};
+    /// use fleet::quarantine::{End, Crash, Register};
     /// use model::{request::{Fingerprint, Suspect}, time::Time};
     /// let mut register = Register::default();
     /// let suspect = Suspect { request: Fingerprint(7), label: "GET /".to_owned() };
     /// for end in 0..3 {
-    ///     let loss = Loss { end: End(end), suspects: vec![suspect.clone()] };
+    ///     let loss = Crash { end: End(end), suspects: vec![suspect.clone()] };
     ///     register.note_end(&loss, Time::from_millis(0));
     /// }
     /// assert_eq!(register.refresh(Time::from_millis(1)).unwrap().len(), 1);
     /// ```
-    pub fn note_end(&mut self, loss: &Loss, now: Time) {
+    pub fn note_end(&mut self, loss: &Crash, now: Time) {
         for suspect in &loss.suspects {
             self.change(suspect.request, now, |case| {
                 case.is_urgent = case.add_ends(&[loss.end], now);
@@ -171,13 +171,13 @@
     pub fn note_answer(&mut self, request: Fingerprint, now: Time) {
         self.change(request, now, |case| {
             // One more end, of whatever cause, and all nodes refuse it.
-            case.is_urgent = case.ends.len() + 1 >= ENDS_MOST;
+            case.is_urgent = case.ends.len() + 1 >= ENDS_THRESHOLD;
             case.answer(now)
         });
     }
 
     /// Takes what another node tells into account; returns whether anything of it is new.
-    pub fn hear(&mut self, reports: &[Report], now: Time) -> bool {
+    pub fn merge(&mut self, reports: &[Report], now: Time) -> bool {
         let mut is_news = false;
         for report in reports {
             let age = Duration::from_millis(report.age_ms);
@@ -193,7 +193,7 @@
     /// Returns up to `most` reports for the next summary. One is of a quarantined request, in turn, however
     /// much else there is to tell: whoever missed it hears of it. The others are changes, those of requests with
     /// the most ends first.
-    pub fn tell(&mut self, most: usize, now: Time) -> Vec<Report> {
+    pub fn next_reports(&mut self, most: usize, now: Time) -> Vec<Report> {
         let mut told: Vec<Fingerprint> = self.next_in_turn().into_iter().collect();
         for changed in self.changed_most(most) {
             if told.len() < most && !told.contains(&changed) {
@@ -205,23 +205,24 @@
 
     /// Returns up to `most` requests of which a change is still to be told.
     fn changed_most(&self, most: usize) -> Vec<Fingerprint> {
-        let changed = self.cases.iter().filter(|(_, case)| case.tellings > 0);
-        let mut changed: Vec<(usize, u32, Fingerprint)> =
-            changed.map(|(request, case)| (case.ends.len(), case.tellings, *request)).collect();
+        let changed = self.cases.iter().filter(|(_, case)| case.transmissions > 0);
+        let mut changed: Vec<(usize, u32, Fingerprint)> = changed
+            .map(|(request, case)| (case.ends.len(), case.transmissions, *request))
+            .collect();
         changed.sort_unstable_by(|a, b| b.cmp(a));
         changed.into_iter().take(most).map(|(_, _, request)| request).collect()
     }
 
     /// Returns what this node has found out and must not wait to be told, in groups for a summary each.
-    pub fn tell_at_once(&mut self, now: Time) -> Vec<Vec<Report>> {
+    pub fn urgent_reports(&mut self, now: Time) -> Vec<Vec<Report>> {
         let urgent = |(request, case): (&Fingerprint, &Case)| case.is_urgent.then_some(*request);
         let requests: Vec<Fingerprint> = self.cases.iter().filter_map(urgent).collect();
         self.report_all(&requests, now)
     }
 
     /// Returns what a node is told that has just started and knows nothing, in groups for a summary each.
-    pub fn tell_newcomer(&mut self, now: Time) -> Vec<Vec<Report>> {
-        let held = self.shown.until.keys().copied().take(NEWCOMER_MOST);
+    pub fn joiner_reports(&mut self, now: Time) -> Vec<Vec<Report>> {
+        let held = self.current.until.keys().copied().take(MAX_JOINER_REPORTS);
         let requests: Vec<Fingerprint> = held.collect();
         self.report_all(&requests, now)
     }
@@ -229,7 +230,7 @@
     /// Works out anew what may run at `now`, and returns which requests' standing changed; none where nothing
     /// can have.
     pub fn refresh(&mut self, now: Time) -> Option<Vec<Change>> {
-        let is_due = self.shown.until.values().any(|until| now >= *until);
+        let is_due = self.current.until.values().any(|until| now >= *until);
         if !std::mem::replace(&mut self.changed, false) && !is_due {
             return None;
         }
@@ -238,8 +239,8 @@
         let until = held.filter(|(_, until)| now < *until).collect();
         let suspects = self.cases.iter().filter(|(_, case)| !case.ends.is_empty());
         let suspects = suspects.map(|(request, _)| *request).collect();
-        let shown = Arc::new(Quarantine { until, suspects });
-        let before = std::mem::replace(&mut self.shown, shown);
+        let current = Arc::new(Quarantine { until, suspects });
+        let before = std::mem::replace(&mut self.current, current);
         Some(self.changes(&before))
     }
 
@@ -251,10 +252,10 @@
             is_new.then_some(Change::Quarantined { request, ends, until })
         };
         let released = |&request: &Fingerprint| {
-            let is_over = !self.shown.until.contains_key(&request);
+            let is_over = !self.current.until.contains_key(&request);
             is_over.then_some(Change::Released { request })
         };
-        let held = self.shown.until.iter().filter_map(held);
+        let held = self.current.until.iter().filter_map(held);
         held.chain(before.until.keys().filter_map(released)).collect()
     }
 
@@ -262,14 +263,14 @@
     /// first, and of these the one whose last end was first. Of two with the same ends neither is known to be
     /// innocent.
     fn causes(&self) -> Vec<Fingerprint> {
-        let many = |(_, case): &(&Fingerprint, &Case)| case.ends.len() >= ENDS_MOST;
+        let many = |(_, case): &(&Fingerprint, &Case)| case.ends.len() >= ENDS_THRESHOLD;
         let mut suspects: Vec<(&Fingerprint, &Case)> = self.cases.iter().filter(many).collect();
         suspects.sort_by_key(|(_, case)| (Reverse(case.ends.len()), case.ended));
         let mut explained: BTreeSet<End> = BTreeSet::new();
         let mut causes: Vec<(&Fingerprint, &Case)> = Vec::new();
         for (request, case) in suspects {
             let has_twin = causes.iter().any(|(_, cause)| cause.ends == case.ends);
-            if has_twin || case.ends.difference(&explained).count() >= ENDS_MOST {
+            if has_twin || case.ends.difference(&explained).count() >= ENDS_THRESHOLD {
                 explained.extend(&case.ends);
                 causes.push((request, case));
             }
@@ -278,8 +279,8 @@
     }
 
     /// Returns what traffic needs to know, as of the last [`Register::refresh`].
-    pub fn shown(&self) -> &Arc<Quarantine> {
-        &self.shown
+    pub fn current(&self) -> &Arc<Quarantine> {
+        &self.current
     }
 
     /// Returns what operators are told.
@@ -289,7 +290,7 @@
             ends: self.ends_of(*request),
             seconds: until.since(now).as_secs(),
         };
-        self.shown.until.iter().map(held).collect()
+        self.current.until.iter().map(held).collect()
     }
 
     fn ends_of(&self, request: Fingerprint) -> usize {
@@ -307,7 +308,8 @@
         if !work(&mut case) || case.is_over(now) {
             return false;
         }
-        case.tellings = if case.ends.len() == 1 { FIRST_TELLINGS } else { TELLINGS };
+        case.transmissions =
+            if case.ends.len() == 1 { FIRST_END_TRANSMISSIONS } else { TRANSMISSIONS };
         self.cases.insert(request, case);
         self.changed = true;
         self.bound();
@@ -317,7 +319,7 @@
     /// Drops the least known case beyond the bound: whoever ends upstreams under ever new requests must
     /// not make the nodes forget those that they refuse.
     fn bound(&mut self) {
-        if self.cases.len() <= CASES_MOST {
+        if self.cases.len() <= MAX_CASES {
             return;
         }
         let least = self.cases.iter().min_by_key(|(_, case)| (case.ends.len(), case.ended));
@@ -328,7 +330,7 @@
 
     /// Returns the quarantined request whose turn it is to be told.
     fn next_in_turn(&mut self) -> Option<Fingerprint> {
-        let held = || self.shown.until.keys().copied();
+        let held = || self.current.until.keys().copied();
         let behind = held().filter(|request| Some(*request) > self.turn).min();
         self.turn = behind.or_else(|| held().min());
         self.turn
@@ -338,12 +340,12 @@
         let group = |requests: &[Fingerprint]| {
             requests.iter().filter_map(|request| self.report(*request, now)).collect()
         };
-        requests.chunks(REPORTS_AT_ONCE).map(group).collect()
+        requests.chunks(REPORTS_PER_MESSAGE).map(group).collect()
     }
 
     fn report(&mut self, request: Fingerprint, now: Time) -> Option<Report> {
         let case = self.cases.get_mut(&request)?;
-        case.tellings = case.tellings.saturating_sub(1);
+        case.transmissions = case.transmissions.saturating_sub(1);
         case.is_urgent = false;
         let answered = case.ends.is_empty();
         let at = if answered { case.answered? } else { case.ended };
--- a/crates/fleet/src/quarantine/case.rs
+++ b/crates/fleet/src/quarantine/case.rs
@@ -3,12 +3,12 @@
 use model::{request::ANSWER_HOLDS, time::Time};
 use std::{collections::BTreeSet, time::Duration};
 
-use crate::quarantine::{ENDS_MOST, End};
+use crate::quarantine::{ENDS_THRESHOLD, End};
 
 /// Ends that are told apart. A further one makes the time begin anew, and no longer.
 const ENDS_KEPT: usize = 8;
 
-/// How long a request is quarantined for [`ENDS_MOST`] ends, counted from the last one; twice as long for
+/// How long a request is quarantined for [`ENDS_THRESHOLD`] ends, counted from the last one; twice as long for
 /// each further end. Somebody has time to look at it, and a request that keeps coming costs few upstreams an hour.
 const PERIOD: Duration = Duration::from_secs(600);
 
@@ -20,7 +20,7 @@
     pub(super) ended: Time,
     pub(super) answered: Option<Time>,
     /// How often a change is still to be told.
-    pub(super) tellings: u32,
+    pub(super) transmissions: u32,
     /// Whether it is still to be told at once, too.
     pub(super) is_urgent: bool,
 }
@@ -28,7 +28,7 @@
 impl Case {
     /// Returns how long the ends count.
     fn period(&self) -> Duration {
-        let further = self.ends.len().saturating_sub(ENDS_MOST) as u32;
+        let further = self.ends.len().saturating_sub(ENDS_THRESHOLD) as u32;
         PERIOD * 2u32.pow(further)
     }
 
@@ -41,7 +41,7 @@
     /// ends count for as long again: the next one quarantines it at once.
     pub(super) fn is_over(&self, now: Time) -> bool {
         let last = self.answered.map_or(self.ended, |answered| answered.max(self.ended));
-        let rounds = if self.ends.len() < ENDS_MOST { 1 } else { 2 };
+        let rounds = if self.ends.len() < ENDS_THRESHOLD { 1 } else { 2 };
         now >= last + self.period() * rounds
     }
 
--- a/crates/fleet/src/roster.rs
+++ b/crates/fleet/src/roster.rs
@@ -51,16 +51,16 @@
     /// It was about this node and is contradicted; the own record changed.
     Refuted,
     /// It says that this node itself is to leave.
-    ToldToLeave,
+    LeaveRequested,
 }
 
 /// Whether a record that is new here is passed on with the next beats.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Telling {
+pub enum Propagation {
     /// It is.
-    Passed,
+    Gossip,
     /// It is not: it came in bulk, so that others have it or will exchange records themselves.
-    Kept,
+    Local,
 }
 
 /// All known nodes, this one included.
@@ -81,7 +81,7 @@
             rumours: Vec::new(),
             buckets: [0; BUCKETS],
         };
-        roster.put(own, Telling::Passed, now);
+        roster.put(own, Propagation::Gossip, now);
         roster
     }
 
@@ -145,18 +145,18 @@
     }
 
     /// Takes a statement from elsewhere into account.
-    pub fn learn(&mut self, record: &Record, telling: Telling, now: Time) -> Change {
+    pub fn learn(&mut self, record: &Record, propagation: Propagation, now: Time) -> Change {
         if record.address == self.own {
             return self.learn_of_self(record, now);
         }
         let old = self.get(record.address);
-        if old.is_some_and(|old| !record.beats(old)) {
+        if old.is_some_and(|old| !record.supersedes(old)) {
             return Change::None;
         }
         if old.is_none() && record.state == State::Gone {
             // Kept so that a "live" of the same life that is still on its way cannot bring a
             // stopped node in, but not passed on: tombstones would circulate for ever.
-            self.put(record.clone(), Telling::Kept, now);
+            self.put(record.clone(), Propagation::Local, now);
             return Change::None;
         }
         let same_life = old.filter(|old| old.incarnation == record.incarnation);
@@ -164,7 +164,7 @@
             Some(old) if old.state.takes_work() == record.state.takes_work() => Change::Minor,
             _ => Change::Major,
         };
-        self.put(record.clone(), telling, now);
+        self.put(record.clone(), propagation, now);
         change
     }
 
@@ -172,7 +172,7 @@
     pub fn update_own(&mut self, state: State, now: Time) {
         let own = self.own();
         let record = Record { sequence: own.sequence + 1, state, ..own.clone() };
-        self.put(record, Telling::Passed, now);
+        self.put(record, Propagation::Gossip, now);
     }
 
     /// Iterates over the nodes that have been in `state` for at least `span`.
@@ -196,13 +196,13 @@
     /// Notes that another node holds the same records: every rumour counts as passed on to it.
     ///
     /// After a herd restart hundreds of rumours are under way that everybody has heard.
-    pub fn agree(&mut self) {
+    pub fn note_agreement(&mut self) {
         self.rumours.iter_mut().for_each(|rumour| rumour.left -= 1);
         self.rumours.retain(|rumour| rumour.left > 0);
     }
 
     /// Draws up to `count` different nodes that `keep` accepts.
-    pub fn draw(
+    pub fn sample(
         &self,
         count: usize,
         random: &mut SmallRng,
@@ -220,7 +220,7 @@
     ) -> Vec<SocketAddr> {
         let reachable = |r: &Record| keep(r) && (r.state.takes_work() || r.state == State::Leaving);
         let count = self.entries.len();
-        let mut order = self.draw(count, random, reachable);
+        let mut order = self.sample(count, random, reachable);
         for i in (1..order.len()).rev() {
             order.swap(i, random.random_range(0..=i));
         }
@@ -251,23 +251,23 @@
             // this life names itself later than that one, nobody would believe its records.
             cov_mark::hit!(incarnation_raised);
             let own = Record { incarnation: record.incarnation + 1, ..own };
-            self.put(own, Telling::Passed, now);
+            self.put(own, Propagation::Gossip, now);
             return Change::Refuted;
         }
-        if record.incarnation < own.incarnation || !record.beats(&own) {
+        if record.incarnation < own.incarnation || !record.supersedes(&own) {
             return Change::None;
         }
         if record.state.is_final() {
-            return Change::ToldToLeave;
+            return Change::LeaveRequested;
         }
         // Others believe this node to be in trouble: it speaks, so they are wrong.
         cov_mark::hit!(suspicion_refuted);
-        self.put(Record { sequence: record.sequence + 1, ..own }, Telling::Passed, now);
+        self.put(Record { sequence: record.sequence + 1, ..own }, Propagation::Gossip, now);
         Change::Refuted
     }
 
     /// Stores a record, and keeps digests and rumours in step.
-    fn put(&mut self, record: Record, telling: Telling, now: Time) {
+    fn put(&mut self, record: Record, propagation: Propagation, now: Time) {
         let address = record.address;
         let bucket = bucket_of(address);
         if let Some(old) = self.entries.get(&address) {
@@ -280,7 +280,7 @@
         };
         self.entries.insert(address, Entry { record, since });
         self.rumours.retain(|r| r.address != address);
-        if telling == Telling::Passed {
+        if propagation == Propagation::Gossip {
             self.rumours.push(Rumour { address, left: self.rumour_count() });
         }
     }
--- a/crates/fleet/src/source.rs
+++ b/crates/fleet/src/source.rs
@@ -19,7 +19,7 @@
 pub const READERS: usize = 2;
 
 /// How long a watch waits at the platform for news.
-pub const WATCH: Duration = Duration::from_secs(8);
+pub const WATCH_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Age of the freshest known contact after which the first node that is not a reader steps in.
 ///
@@ -36,11 +36,11 @@
 /// Pause after an answer without news.
 const UNCHANGED_PAUSE: Duration = Duration::from_millis(250);
 
-/// First upper bound of the random pause after a failed call; doubled up to [`BACKOFF_MOST`].
-const BACKOFF_LEAST: Duration = Duration::from_millis(500);
+/// First upper bound of the random pause after a failed call; doubled up to [`MAX_BACKOFF`].
+const MIN_BACKOFF: Duration = Duration::from_millis(500);
 
 /// Upper bound of the random pause after failed calls.
-const BACKOFF_MOST: Duration = Duration::from_secs(30);
+const MAX_BACKOFF: Duration = Duration::from_secs(30);
 
 /// A contact of a data centre with the platform.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -74,7 +74,7 @@
     },
     /// Configuration and list of upstreams together, from a platform that keeps both under one
     /// revision.
-    News {
+    Changes {
         /// Revision up to which the asker holds everything; none: everything is wanted at once.
         after: Option<u64>,
         /// How long the platform may hold the call.
@@ -90,7 +90,7 @@
     /// The list of instances.
     List,
     /// Configuration and list of upstreams together.
-    News,
+    Changes,
 }
 
 /// An instance in the platform's list.
@@ -116,16 +116,16 @@
 
 /// Whether an answer brought something new.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum News {
+pub enum Freshness {
     /// It did.
-    Some,
+    New,
     /// It did not.
-    None,
+    Unchanged,
 }
 
 /// What has changed on a platform that keeps configuration and list under one revision.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct Bulletin {
+pub struct Changeset {
     /// Revision up to which the asker now holds everything.
     pub revision: u64,
     /// The configuration, if it changed.
@@ -146,7 +146,7 @@
     /// A new list.
     List(Listing),
     /// Changes of either.
-    News(Bulletin),
+    Changes(Changeset),
     /// Nothing newer; the platform's present revision.
     Unchanged(Topic, u64),
     /// No usable answer.
@@ -157,22 +157,22 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Failure {
     /// The platform is over its limit of reads.
-    Refused,
+    RateLimited,
     /// The platform was not reached or did not answer in time.
     Unreachable(String),
     /// The answer could not be understood.
     Malformed(Fault),
     /// The platform has forgotten what changed since the asked revision.
-    Forgotten,
+    Compacted,
 }
 
 impl fmt::Display for Failure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Failure::Refused => f.write_str("over its limit of reads"),
+            Failure::RateLimited => f.write_str("over its limit of reads"),
             Failure::Unreachable(reason) => f.write_str(reason),
             Failure::Malformed(fault) => fault.fmt(f),
-            Failure::Forgotten => f.write_str("the history since the asked revision is gone"),
+            Failure::Compacted => f.write_str("the history since the asked revision is gone"),
         }
     }
 }
@@ -187,7 +187,7 @@
 
 /// Duty of one node towards the platform.
 #[derive(Debug)]
-pub struct Duty {
+pub struct Schedule {
     config: Line,
     list: Line,
     contact: Option<Seen>,
@@ -212,11 +212,11 @@
     Idle,
 }
 
-impl Duty {
+impl Schedule {
     /// Creates the duty of a node that calls no earlier than `begin`.
     pub fn new(begin: Time) -> Self {
         let line = Line { busy: false, due: begin, failures: 0 };
-        Duty { config: line, list: line, contact: None, own_failing: false }
+        Schedule { config: line, list: line, contact: None, own_failing: false }
     }
 
     /// Returns the role of a node at place `rank` of its data centre's order.
@@ -249,10 +249,16 @@
     /// Notes a usable answer on `topic` to this node at place `rank`.
     ///
     /// Returns whether the platform was lost before.
-    pub fn succeed(&mut self, topic: Topic, news: News, rank: usize, now: Time) -> bool {
+    pub fn note_success(
+        &mut self,
+        topic: Topic,
+        freshness: Freshness,
+        rank: usize,
+        now: Time,
+    ) -> bool {
         // A platform that does not hold the call although asked to would otherwise be called again
         // at every tick.
-        let pause = if news == News::Some { Duration::ZERO } else { UNCHANGED_PAUSE };
+        let pause = if freshness == Freshness::New { Duration::ZERO } else { UNCHANGED_PAUSE };
         *self.line(topic) = Line { busy: false, due: now + pause, failures: 0 };
         self.contact = Some(Seen { at: now, rank });
         std::mem::replace(&mut self.own_failing, false)
@@ -262,9 +268,9 @@
     ///
     /// Without the randomness, nodes that failed together would come back together.
     /// Returns whether this is the first failure in a row.
-    pub fn fail(&mut self, topic: Topic, now: Time, random: &mut SmallRng) -> bool {
+    pub fn note_failure(&mut self, topic: Topic, now: Time, random: &mut SmallRng) -> bool {
         let line = self.line(topic);
-        let bound = (BACKOFF_LEAST * 2u32.pow(line.failures.min(10))).min(BACKOFF_MOST);
+        let bound = (MIN_BACKOFF * 2u32.pow(line.failures.min(10))).min(MAX_BACKOFF);
         line.failures += 1;
         line.busy = false;
         line.due = now + bound.mul_f64(random.random_range(0.1..1.0));
@@ -275,7 +281,7 @@
     ///
     /// Of two fresh contacts the one by the earlier place counts, so that a standby notices that
     /// the readers are back; otherwise the later one.
-    pub fn hear(&mut self, contact: Contact, now: Time) {
+    pub fn observe(&mut self, contact: Contact, now: Time) {
         let age = Duration::from_millis(contact.age_ms);
         let heard = Seen {
             at: Time::at(now.since(Time::default()).saturating_sub(age)),
@@ -304,7 +310,7 @@
 
     fn line(&mut self, topic: Topic) -> &mut Line {
         match topic {
-            Topic::Config | Topic::News => &mut self.config,
+            Topic::Config | Topic::Changes => &mut self.config,
             Topic::List => &mut self.list,
         }
     }
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -33,7 +33,7 @@
     pub cold_until: Time,
     /// When the latest order to evacuate its data centre was withdrawn, if that is known; it may have
     /// become cold meanwhile.
-    pub taken_back: Option<Time>,
+    pub readmitted_at: Option<Time>,
 }
 
 /// All upstreams by service.
@@ -59,7 +59,7 @@
                 started_ms: None,
                 slots: 0,
                 cold_until: Time::default(),
-                taken_back: None,
+                readmitted_at: None,
             };
             view.add(&record.service, upstream);
         }
--- a/crates/fleet/tests/catchup.rs
+++ b/crates/fleet/tests/catchup.rs
@@ -1,7 +1,7 @@
 //! A newer version is put together from pieces, whoever they come from.
 
 use fleet::{
-    catchup::{Draft, Progress},
+    catchup::{Progress, Transfer},
     fence::Fence,
     message::Bundle,
 };
@@ -36,11 +36,11 @@
 
 /// Asks `other` until the draft is whole; returns the version and the number of answers.
 #[track_caller]
-fn finish(draft: &mut Draft, own: &Fence, other: &Fence) -> (Version, usize) {
+fn finish(transfer: &mut Transfer, own: &Fence, other: &Fence) -> (Version, usize) {
     for answers in 1..PIECES {
-        match draft.take(own, other.answer(&draft.pull_content(own))) {
-            Progress::Whole(set) => return (set.version(), answers),
-            Progress::Part => {}
+        match transfer.receive(own, other.answer(&transfer.pull_content(own))) {
+            Progress::Complete(set) => return (set.version(), answers),
+            Progress::Partial => {}
             Progress::Stale => panic!("stale after {answers} answers"),
             Progress::Unusable => panic!("unusable after {answers} answers"),
         }
@@ -51,7 +51,7 @@
 #[track_caller]
 fn check(own: &Set, other: &Set, expect: std::ops::RangeInclusive<usize>) {
     let (own, other) = (holder(own.clone()), holder(other.clone()));
-    let (version, answers) = finish(&mut Draft::default(), &own, &other);
+    let (version, answers) = finish(&mut Transfer::default(), &own, &other);
     assert_eq!(version, other.version());
     assert!(expect.contains(&answers), "{answers}");
 }
@@ -71,12 +71,12 @@
 fn pieces_of_two_versions_lead_to_the_later_one() {
     let own = holder(set(1, 100, "1"));
     let (older, newer) = (holder(set(2, 3_000, "1")), holder(set(3, 3_500, "1")));
-    let mut draft = Draft::default();
+    let mut transfer = Transfer::default();
     for _ in 0..4 {
-        let answer = older.answer(&draft.pull_content(&own));
-        assert!(matches!(draft.take(&own, answer), Progress::Part));
+        let answer = older.answer(&transfer.pull_content(&own));
+        assert!(matches!(transfer.receive(&own, answer), Progress::Partial));
     }
-    assert_eq!(finish(&mut draft, &own, &newer).0, newer.version());
+    assert_eq!(finish(&mut transfer, &own, &newer).0, newer.version());
 }
 
 /// A node is never served by some of the documents of a version: no piece comes into force, and what
@@ -85,26 +85,26 @@
 fn what_does_not_have_the_announced_digest_is_dropped() {
     let own = holder(set(1, 100, "1"));
     let other = holder(set(2, 200, "1"));
-    let mut draft = Draft::default();
+    let mut transfer = Transfer::default();
     let lie =
         |answer: Bundle| Bundle { version: Version { revision: 3, ..answer.version }, ..answer };
-    let first = draft.take(&own, lie(other.answer(&draft.pull_content(&own))));
-    assert!(matches!(first, Progress::Part));
-    let second = draft.take(&own, lie(other.answer(&draft.pull_content(&own))));
+    let first = transfer.receive(&own, lie(other.answer(&transfer.pull_content(&own))));
+    assert!(matches!(first, Progress::Partial));
+    let second = transfer.receive(&own, lie(other.answer(&transfer.pull_content(&own))));
     assert!(matches!(second, Progress::Unusable));
-    assert!(draft.is_empty());
+    assert!(transfer.is_empty());
 }
 
 /// A faulty node promises more and sends nothing, again and again; it must not be asked for ever.
 #[test]
 fn promises_without_documents_end() {
     let own = holder(set(1, 100, "1"));
-    let mut draft = Draft::default();
+    let mut transfer = Transfer::default();
     let delta = Delta { revision: 2, ..Delta::default() };
     let version = Version { revision: 2, ..Version::default() };
     let empty = || Bundle { version, delta: delta.clone(), more: true };
-    assert!(matches!(draft.take(&own, empty()), Progress::Part));
-    assert!(matches!(draft.take(&own, empty()), Progress::Unusable));
+    assert!(matches!(transfer.receive(&own, empty()), Progress::Partial));
+    assert!(matches!(transfer.receive(&own, empty()), Progress::Unusable));
 }
 
 /// Two product versions run side by side: a former one neither asks for pieces nor answers with them.
@@ -112,27 +112,27 @@
 fn nodes_that_know_no_pieces_get_and_give_everything() {
     let own = holder(set(1, 1_600, "1"));
     let other = holder(set(2, 3_000, "1"));
-    let mut pull = Draft::default().pull_content(&own);
+    let mut pull = Transfer::default().pull_content(&own);
     pull.limit = None;
     let answer = other.answer(&pull);
     assert!(!answer.more);
-    assert!(matches!(Draft::default().take(&own, answer), Progress::Whole(_)));
+    assert!(matches!(Transfer::default().receive(&own, answer), Progress::Complete(_)));
     let everything =
         Bundle { version: other.version(), delta: other.set().since(None), more: false };
-    assert!(matches!(Draft::default().take(&own, everything), Progress::Whole(_)));
+    assert!(matches!(Transfer::default().receive(&own, everything), Progress::Complete(_)));
 }
 
 /// Changes since a revision are told at once or not at all; then they are asked for by content.
 #[test]
 fn what_changed_since_a_revision_is_told_if_it_is_little() {
     let own = holder(set(1, 100, "1"));
-    let draft = Draft::default();
+    let transfer = Transfer::default();
     let little = set(1, 100, "1").with(Delta {
         revision: 2,
         documents: vec![Document { modified: 2, ..documents(1, "2").remove(0) }],
         ..Delta::default()
     });
-    let little = holder(little).answer(&draft.pull_changes(&own));
+    let little = holder(little).answer(&transfer.pull_changes(&own));
     assert_eq!((little.delta.documents.len(), little.more), (1, false));
     let documents = documents(3_000, "2").into_iter().map(|d| Document { modified: 2, ..d });
     let much = set(1, 100, "1").with(Delta {
@@ -140,7 +140,7 @@
         documents: documents.collect(),
         ..Delta::default()
     });
-    let much = holder(much).answer(&draft.pull_changes(&own));
+    let much = holder(much).answer(&transfer.pull_changes(&own));
     assert_eq!((much.delta.documents.len(), much.more), (0, true));
 }
 
@@ -151,14 +151,14 @@
     for behind in [Set::default(), set(1, 50, "1")] {
         let own = holder(set(2, 100, "1"));
         let other = holder(set(3, 3_000, "1"));
-        let mut draft = Draft::default();
+        let mut transfer = Transfer::default();
         for _ in 0..3 {
-            draft.take(&own, other.answer(&draft.pull_content(&own)));
+            transfer.receive(&own, other.answer(&transfer.pull_content(&own)));
         }
-        let before = draft.pull_content(&own);
-        let stale = draft.take(&own, holder(behind).answer(&before));
+        let before = transfer.pull_content(&own);
+        let stale = transfer.receive(&own, holder(behind).answer(&before));
         assert!(matches!(stale, Progress::Stale));
-        assert_eq!(draft.pull_content(&own).buckets, before.buckets);
+        assert_eq!(transfer.pull_content(&own).buckets, before.buckets);
     }
 }
 
@@ -166,13 +166,13 @@
 #[test]
 fn less_is_asked_for_after_two_losses_in_a_row() {
     let fence = Fence::default();
-    let mut draft = Draft::default();
-    let size = |draft: &Draft| draft.pull(&fence).limit.expect("pieces are bounded");
-    let usual = size(&draft);
-    draft.lose();
-    assert_eq!(size(&draft), usual);
-    draft.lose();
-    assert_eq!(size(&draft), usual / 2);
-    (0..20).for_each(|_| draft.lose());
-    assert!(size(&draft) >= 1 << 10);
+    let mut transfer = Transfer::default();
+    let size = |transfer: &Transfer| transfer.pull(&fence).limit.expect("pieces are bounded");
+    let usual = size(&transfer);
+    transfer.note_timeout();
+    assert_eq!(size(&transfer), usual);
+    transfer.note_timeout();
+    assert_eq!(size(&transfer), usual / 2);
+    (0..20).for_each(|_| transfer.note_timeout());
+    assert!(size(&transfer) >= 1 << 10);
 }
--- a/crates/fleet/tests/directory.rs
+++ b/crates/fleet/tests/directory.rs
@@ -84,7 +84,7 @@
     let mut copy = check(vec![Update { entries: vec![entry("a", 3)], ..update(None, 3) }], &["a"]);
     let lapsed = Update { removed: vec![removal("a", 5)], ..update(Some(3), 5) };
     let changes = copy.apply(lapsed, DOUBT, at(10_000)).expect("it follows on");
-    assert_eq!(changes[0].1, Change::Doubted);
+    assert_eq!(changes[0].1, Change::RemovalPending);
     assert_eq!((copy.entries().count(), copy.expire(at(11_900)).len()), (1, 0));
     let back = Update { entries: vec![entry("a", 8)], ..update(Some(5), 8) };
     copy.apply(back, DOUBT, at(11_950)).expect("it follows on");
@@ -184,7 +184,7 @@
     let lapsed = Update { removed: vec![removal("a", 5)], ..update(Some(3), 5) };
     copy.apply(lapsed, DOUBT, at(10_000)).expect("it follows on");
     let told = copy.since(Some(3), at(11_500));
-    assert_eq!(told.removed[0].doubt_ms, 500);
+    assert_eq!(told.removed[0].grace_ms, 500);
     let gone = copy.expire(at(12_000));
     assert_eq!((gone[0].1, copy.entries().count()), (Change::Gone, 0));
     assert_eq!(copy.since(Some(3), at(12_500)).removed, [removal("a", 5)]);
--- a/crates/fleet/tests/evacuation.rs
+++ b/crates/fleet/tests/evacuation.rs
@@ -4,7 +4,7 @@
 
 use fleet::{
     directory::{Directory, Update},
-    evacuation::{ORDERS_MOST, Order, Orders},
+    evacuation::{MAX_ORDERS, Order, Orders},
 };
 use model::time::Time;
 use net::{Net, Treatment};
@@ -144,7 +144,7 @@
     net.take_back("b");
     net.until(BOUND, is_back);
     let upstreams = net.node(0).view.upstreams("shelfview");
-    let taken_back = |id: &str| upstreams.iter().find(|u| u.instance == id).unwrap().taken_back;
+    let taken_back = |id: &str| upstreams.iter().find(|u| u.instance == id).unwrap().readmitted_at;
     assert!(taken_back("i-3").is_some_and(|at| at <= Time::from_millis(net.now)));
     assert_eq!(taken_back("i-0"), None);
 }
@@ -183,10 +183,10 @@
 fn orders_are_bounded() {
     let mut orders = Orders::default();
     orders.merge([order("b", 1, false)]);
-    for number in 0..2 * ORDERS_MOST as u64 {
+    for number in 0..2 * MAX_ORDERS as u64 {
         orders.merge([order(&format!("junk-{number}"), number + 2, false)]);
     }
-    assert_eq!(orders.in_force().count(), ORDERS_MOST);
+    assert_eq!(orders.in_force().count(), MAX_ORDERS);
     assert!(orders.is_evacuated("b"));
     // Withdrawals make room for later orders and are not undone by earlier ones.
     orders.merge([order("junk-0", 10_000, true), order("c", 10_001, false)]);
--- a/crates/fleet/tests/fence.rs
+++ b/crates/fleet/tests/fence.rs
@@ -23,7 +23,7 @@
         Verdict::NotNewer => "not newer",
         Verdict::Conflict(_) => "conflict",
         Verdict::Rejected(_) => "rejected",
-        Verdict::KnownBad => "known bad",
+        Verdict::AlreadyRejected => "known bad",
     }
 }
 
@@ -78,7 +78,7 @@
 fn check_expected(offers: &[Offer], heard: u64, known: u64, expected: u64) {
     let mut fence = Fence::default();
     offers.iter().for_each(|&offer| drop(fence.offer(set(offer))));
-    fence.hear(heard);
+    fence.observe(heard);
     assert_eq!((fence.known(), fence.expected()), (known, expected));
 }
 
--- a/crates/fleet/tests/growth.rs
+++ b/crates/fleet/tests/growth.rs
@@ -159,7 +159,7 @@
         let before = net.pulls[6];
         for _ in 0..pauses {
             net.run(30);
-            net.tell(6, Event::Woke(Duration::from_millis(600)));
+            net.tell(6, Event::Resumed(Duration::from_millis(600)));
         }
         net.until(20_000, |net| net.node(6).in_force == revision);
         net.pulls[6] - before
--- a/crates/fleet/tests/hundreds.rs
+++ b/crates/fleet/tests/hundreds.rs
@@ -5,7 +5,7 @@
 use fleet::{
     control::Event,
     directory::Standing,
-    message::{Digest, News, Rumour, Sender},
+    message::{Digest, Piggyback, Rumour, Sender},
 };
 use net::{Net, address};
 use std::collections::BTreeMap;
@@ -240,10 +240,10 @@
             leaving: false,
             heard_ms: BTreeMap::from([("a".to_owned(), u64::MAX), ("nowhere".to_owned(), 0)]),
             rumours: (0..50).flat_map(|n| [about(n), unknown(n)]).collect(),
-            news: News::default(),
+            piggyback: Piggyback::default(),
             reports: Vec::new(),
         };
-        net.tell(0, Event::Heard(digest));
+        net.tell(0, Event::Digest(digest));
     }
     net.run(1_500);
     assert!((0..NODES).all(|n| net.target_count(n) == NODES));
--- a/crates/fleet/tests/joining.rs
+++ b/crates/fleet/tests/joining.rs
@@ -4,7 +4,7 @@
     clock::{Now, Stamp},
     control::{Control, Effect, Event, Settings},
     member::{Record, State},
-    message::{Beat, Request, Response, Sender},
+    message::{Heartbeat, Request, Response, Sender},
 };
 use model::{config::Version, time::Time};
 use std::net::SocketAddr;
@@ -32,7 +32,7 @@
 }
 
 fn beat(port: u16, revision: u64) -> Event {
-    let beat = Beat {
+    let beat = Heartbeat {
         from: Sender { address: address(port), incarnation: 1 },
         stamp: Stamp::default(),
         version: Version { revision, ..Version::default() },
@@ -42,7 +42,7 @@
         rumours: vec![],
         reports: vec![],
     };
-    Event::Answered(address(port), Response::Beat(beat))
+    Event::Response(address(port), Response::Heartbeat(beat))
 }
 
 /// Applies events at their times; compares whom the node pulls from.
--- a/crates/fleet/tests/listing.rs
+++ b/crates/fleet/tests/listing.rs
@@ -51,7 +51,7 @@
         buckets: vec![],
         records: (2..=PEERS).map(record).collect(),
     };
-    node.apply(Event::Asked(Request::Sync(sync)), now());
+    node.apply(Event::Request(Request::Sync(sync)), now());
     for listing in listings {
         node.apply(Event::Source(Answer::List(listing.clone())), now());
     }
--- a/crates/fleet/tests/member.rs
+++ b/crates/fleet/tests/member.rs
@@ -2,7 +2,7 @@
 
 use fleet::{
     member::{Record, State},
-    roster::{Change, Roster, Telling},
+    roster::{Change, Propagation, Roster},
 };
 use model::time::Time;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
@@ -30,7 +30,11 @@
 fn check(statements: &[(u64, u64, State)], expect: State) {
     let mut roster = Roster::new(record(1, 1, 0, State::Live), Time::default());
     for &(incarnation, sequence, state) in statements {
-        roster.learn(&record(2, incarnation, sequence, state), Telling::Passed, Time::default());
+        roster.learn(
+            &record(2, incarnation, sequence, state),
+            Propagation::Gossip,
+            Time::default(),
+        );
     }
     let held = roster.get(([127, 0, 0, 1], 2).into()).map(|r| r.state);
     assert_eq!(held, Some(expect));
@@ -64,12 +68,12 @@
     cov_mark::check!(incarnation_raised);
     let mut roster = Roster::new(record(1, 5, 0, State::Live), Time::default());
     let mut learn = |incarnation, sequence, state| {
-        roster.learn(&record(1, incarnation, sequence, state), Telling::Passed, Time::default())
+        roster.learn(&record(1, incarnation, sequence, state), Propagation::Gossip, Time::default())
     };
     assert_eq!(learn(5, 0, State::Suspect), Change::Refuted);
     assert_eq!(learn(4, 9, State::Gone), Change::None);
     assert_eq!(learn(8, 0, State::Gone), Change::Refuted);
-    assert_eq!(learn(9, 0, State::Leaving), Change::ToldToLeave);
+    assert_eq!(learn(9, 0, State::Leaving), Change::LeaveRequested);
     assert_eq!(roster.own().incarnation, 9);
     assert_eq!(roster.own().state, State::Live);
 }
@@ -93,7 +97,7 @@
         let learn = |statements: &mut dyn Iterator<Item = &Statement>| {
             let mut roster = Roster::new(record(1, 1, 0, State::Live), Time::default());
             for Statement(record) in statements {
-                roster.learn(record, Telling::Passed, Time::default());
+                roster.learn(record, Propagation::Gossip, Time::default());
             }
             roster.digest()
         };
--- a/crates/fleet/tests/net/mod.rs
+++ b/crates/fleet/tests/net/mod.rs
@@ -7,10 +7,10 @@
 
 use fleet::{
     clock::Now,
-    control::{Asked, Effect, Event, Lost},
+    control::{Effect, Error, Event, Method},
     directory::{Entry, Standing},
     listed::{Control, Reading, Settings},
-    message::{Digest, News, Request, Response},
+    message::{Digest, Piggyback, Request, Response},
     quarantine::Quarantine,
     source::{Answer, Failure, Query, Topic},
     view::View,
@@ -346,16 +346,16 @@
                 }
             }
             Due::Ask { from, life, to, request, until } => {
-                let asked = asked(&request);
+                let method = method(&request);
                 let Some(response) = self.ask(to, request) else {
-                    let lost = Event::Lost(address(to), Lost { asked, malformed: None });
+                    let lost = Event::Failed(address(to), Error { method, malformed: None });
                     return self.put(DELAY, Due::Event(from, life, lost));
                 };
                 let arrival = self.carry(from, to, until, &response);
                 let event = if arrival <= until {
-                    Event::Answered(address(to), response)
+                    Event::Response(address(to), response)
                 } else {
-                    Event::Lost(address(to), Lost { asked, malformed: None })
+                    Event::Failed(address(to), Error { method, malformed: None })
                 };
                 self.put(arrival.min(until) - self.now, Due::Event(from, life, event));
             }
@@ -380,7 +380,7 @@
 
     fn ask(&mut self, to: usize, request: Request) -> Option<Response> {
         let now = self.moment();
-        let effects = self.nodes[to].control.as_mut()?.apply(Event::Asked(request), now);
+        let effects = self.nodes[to].control.as_mut()?.apply(Event::Request(request), now);
         let mut reply = None;
         for effect in effects {
             match effect {
@@ -402,7 +402,7 @@
     fn carry_out(&mut self, node: usize, effect: Effect) {
         let life = self.nodes[node].life;
         match effect {
-            Effect::Tell(targets, digest) => {
+            Effect::Gossip(targets, digest) => {
                 let bytes = serde_json::to_vec(&digest).expect("messages have a JSON form").len();
                 let targets: Vec<usize> =
                     targets.into_iter().filter_map(|t| self.index(t)).collect();
@@ -418,7 +418,7 @@
                     let life = self.nodes[to].life;
                     let is_plain = self.plain.contains(&node) || self.plain.contains(&to);
                     let digest = if is_plain { plain(&digest) } else { digest.clone() };
-                    self.put(DELAY, Due::Event(to, life, Event::Heard(digest)));
+                    self.put(DELAY, Due::Event(to, life, Event::Digest(digest)));
                 }
             }
             Effect::Send(peer, request, timeout) => self.send(node, life, peer, request, timeout),
@@ -454,18 +454,18 @@
         request: Request,
         timeout: Duration,
     ) {
-        let asked = asked(&request);
-        self.pulls[node] += u64::from(asked == Asked::Pull);
+        let method = method(&request);
+        self.pulls[node] += u64::from(method == Method::Pull);
         let until = self.now + timeout.as_millis() as u64;
         let is_lost = self.lossy > 0 && self.pulls[node].is_multiple_of(self.lossy);
         let reachable = self
             .index(peer)
-            .filter(|_| !(is_lost && asked == Asked::Pull))
+            .filter(|_| !(is_lost && method == Method::Pull))
             .filter(|&to| !self.cut.contains(&(node, to)) && self.nodes[to].control.is_some());
         match reachable {
             Some(to) => self.put(DELAY, Due::Ask { from: node, life, to, request, until }),
             None => {
-                let lost = Event::Lost(peer, Lost { asked, malformed: None });
+                let lost = Event::Failed(peer, Error { method, malformed: None });
                 self.put(timeout.as_millis() as u64, Due::Event(node, life, lost));
             }
         }
@@ -473,11 +473,11 @@
 
     fn read(&mut self, node: usize, life: u64, query: Query) {
         self.reads += 1;
-        let Query::News { wait, .. } = query else { return };
+        let Query::Changes { wait, .. } = query else { return };
         let until = self.now + wait.as_millis() as u64;
         match self.treatment[node] {
             Treatment::Serve => self.put(4, Due::Read { node, life, query, until }),
-            Treatment::Refuse => self.fail(node, life, 4, Failure::Refused),
+            Treatment::Refuse => self.fail(node, life, 4, Failure::RateLimited),
             Treatment::Silent => {
                 self.fail(node, life, SILENCE, Failure::Unreachable("silent".to_owned()));
             }
@@ -485,7 +485,7 @@
     }
 
     fn fail(&mut self, node: usize, life: u64, delay: u64, failure: Failure) {
-        let answer = Answer::Failed(Topic::News, failure);
+        let answer = Answer::Failed(Topic::Changes, failure);
         self.put(delay, Due::Event(node, life, Event::Source(answer)));
     }
 
@@ -494,15 +494,15 @@
             let failure = Failure::Unreachable("the store went away".to_owned());
             return self.fail(node, life, SILENCE, failure);
         }
-        let Query::News { after, .. } = query else { return };
+        let Query::Changes { after, .. } = query else { return };
         let forgotten = after.is_some_and(|after| self.store.has_forgotten(after));
         if forgotten {
-            return self.fail(node, life, 1, Failure::Forgotten);
+            return self.fail(node, life, 1, Failure::Compacted);
         }
-        let bulletin = self.store.bulletin(after);
-        let has_news = bulletin.config.is_some() || !bulletin.list.is_empty();
+        let changeset = self.store.changeset(after);
+        let has_news = changeset.config.is_some() || !changeset.list.is_empty();
         if has_news || after.is_none() || self.now >= until {
-            let event = Event::Source(Answer::News(bulletin));
+            let event = Event::Source(Answer::Changes(changeset));
             self.put(4, Due::Event(node, life, event));
         } else {
             self.put(10, Due::Read { node, life, query, until });
@@ -524,15 +524,15 @@
         leaving,
         heard_ms: BTreeMap::new(),
         rumours: Vec::new(),
-        news: News::default(),
+        piggyback: Piggyback::default(),
         reports: Vec::new(),
     }
 }
 
-fn asked(request: &Request) -> Asked {
+fn method(request: &Request) -> Method {
     match request {
-        Request::Fetch(_) => Asked::Fetch,
-        _ => Asked::Pull,
+        Request::Fetch(_) => Method::Fetch,
+        _ => Method::Pull,
     }
 }
 
@@ -541,7 +541,7 @@
     let bytes = match response {
         Response::Pull(bundle) => serde_json::to_vec(bundle),
         Response::Fetch(update) => serde_json::to_vec(update),
-        Response::Beat(_) | Response::Sync(_) => return 0,
+        Response::Heartbeat(_) | Response::Sync(_) => return 0,
     };
     8 * bytes.expect("messages have a JSON form").len() as u64
 }
--- a/crates/fleet/tests/net/store.rs
+++ b/crates/fleet/tests/net/store.rs
@@ -3,7 +3,7 @@
 use fleet::{
     directory::{Entry, Reason, Removal, Update},
     evacuation::Order,
-    source::Bulletin,
+    source::Changeset,
 };
 use model::document::{Delta, Document};
 use std::collections::BTreeMap;
@@ -87,9 +87,9 @@
     }
 
     /// Returns what was written since `after`, or everything.
-    pub(crate) fn bulletin(&self, after: Option<u64>) -> Bulletin {
+    pub(crate) fn changeset(&self, after: Option<u64>) -> Changeset {
         let list = Update { revision: self.revision, base: after, ..Update::default() };
-        let mut news = Bulletin { revision: self.revision, list, ..Bulletin::default() };
+        let mut news = Changeset { revision: self.revision, list, ..Changeset::default() };
         let is_new = |revision: u64| after.is_none_or(|after| revision > after);
         let mut orders = Vec::new();
         for (key, (revision, value)) in self.values.iter().filter(|(_, (at, _))| is_new(*at)) {
--- a/crates/fleet/tests/quarantine.rs
+++ b/crates/fleet/tests/quarantine.rs
@@ -4,7 +4,7 @@
 
 use fleet::{
     control::Event,
-    quarantine::{Change, End, Loss, Register, Report},
+    quarantine::{Change, Crash, End, Register, Report},
 };
 use model::{
     request::{Fingerprint, Suspect},
@@ -29,9 +29,9 @@
     Time::from_millis(ms)
 }
 
-fn loss(end: u32, requests: &[Fingerprint]) -> Loss {
+fn loss(end: u32, requests: &[Fingerprint]) -> Crash {
     let suspect = |request: &Fingerprint| Suspect { request: *request, label: String::new() };
-    Loss { end: End(end), suspects: requests.iter().map(suspect).collect() }
+    Crash { end: End(end), suspects: requests.iter().map(suspect).collect() }
 }
 
 fn calm(places: &[&'static str], nodes: usize) -> Net {
@@ -221,7 +221,7 @@
         register.note_end(&loss(number as u32, &[FATAL]), now);
         register.refresh(now);
     }
-    let until = register.shown().until.get(&FATAL).copied();
+    let until = register.current().until.get(&FATAL).copied();
     assert_eq!(until, held_until.map(|minute| at(minute * MINUTE)));
     if let Some(until) = until {
         let changes = register.refresh(until).expect("its time is over");
@@ -255,8 +255,8 @@
         register.note_end(&loss(number as u32, &[Fingerprint(number)]), at(number));
     }
     register.refresh(at(9_000));
-    assert!(register.shown().until.contains_key(&FATAL));
-    assert!(register.shown().suspects.len() <= 512);
+    assert!(register.current().until.contains_key(&FATAL));
+    assert!(register.current().suspects.len() <= 512);
 }
 
 /// Two nodes tell each other the same for ever, each time as news.
@@ -268,8 +268,8 @@
         other.note_end(&loss(number + 50, &[FATAL]), at(number.into()));
     }
     let exchange = |from: &mut Register, to: &mut Register, now: u64| {
-        let reports: Vec<Report> = from.tell(9, at(now));
-        to.hear(&reports, at(now))
+        let reports: Vec<Report> = from.next_reports(9, at(now));
+        to.merge(&reports, at(now))
     };
     exchange(&mut one, &mut other, 20);
     exchange(&mut other, &mut one, 30);
@@ -289,7 +289,7 @@
     register.note_end(&loss(3, &[FATAL, OTHER]), at(29));
     register.note_end(&loss(4, &[OTHER]), at(367));
     register.refresh(at(367));
-    let held: Vec<&Fingerprint> = register.shown().until.keys().collect();
+    let held: Vec<&Fingerprint> = register.current().until.keys().collect();
     assert_eq!(held, [&FATAL]);
 }
 
@@ -301,7 +301,7 @@
         register.note_end(&loss(end, &[FATAL, OTHER]), at(0));
     }
     register.refresh(at(0));
-    assert_eq!(register.shown().until.len(), 2);
+    assert_eq!(register.current().until.len(), 2);
     register.note_end(&loss(3, &[FATAL]), at(10));
     let changes = register.refresh(at(10)).expect("an end is news");
     assert_eq!(changes, [Change::Released { request: OTHER }]);
@@ -315,10 +315,10 @@
     let ends = (0..3).map(End).collect();
     let answer = Report { request: OTHER, ends: Vec::new(), answered: true, age_ms: 500 };
     let ended = Report { request: OTHER, ends, answered: false, age_ms: 900 };
-    assert!(register.hear(&[answer], at(30_000)));
-    register.hear(&[ended], at(30_100));
+    assert!(register.merge(&[answer], at(30_000)));
+    register.merge(&[ended], at(30_100));
     register.refresh(at(30_100));
-    assert!(register.shown().until.is_empty());
+    assert!(register.current().until.is_empty());
 }
 
 /// An answer of before the ends clears as long as a call lasts, and not for ever: a request may become fatal.
@@ -329,6 +329,6 @@
     for number in 0..3 {
         register.note_end(&loss(number, &[FATAL]), at(30_000));
     }
-    assert!(!register.hear(std::slice::from_ref(&answered), at(30_000)));
-    assert!(register.hear(&[Report { age_ms: 5_000, ..answered }], at(30_000)));
+    assert!(!register.merge(std::slice::from_ref(&answered), at(30_000)));
+    assert!(register.merge(&[Report { age_ms: 5_000, ..answered }], at(30_000)));
 }
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -3,11 +3,10 @@
 use crossbeam::channel::{self, Receiver, Sender, TrySendError};
 use fleet::{
     clock::Stamp,
-    control::{Asked, Control, Effect, Event, Lost, Machine},
-    listed,
+    control::{Control, Effect, Error, Event, Machine, Method},
+    dissemination, listed,
     member::{Record, State},
     message::{Digest, Request, Response},
-    plan,
     source::{Answer, Failure, Query, Topic},
     status,
     timeline::{self, Kind},
@@ -139,14 +138,14 @@
 }
 
 fn control_settings(settings: &Settings, parts: &Parts) -> fleet::control::Settings {
-    let plan: Box<dyn plan::Plan> = match settings.plan {
-        Plan::Epidemic => Box::new(plan::Epidemic::default()),
-        Plan::Tree => Box::new(plan::Tree::default()),
-        Plan::Pull => Box::new(plan::Pull),
+    let dissemination: Box<dyn dissemination::Strategy> = match settings.plan {
+        Plan::Epidemic => Box::new(dissemination::Epidemic::default()),
+        Plan::Tree => Box::new(dissemination::Tree::default()),
+        Plan::Pull => Box::new(dissemination::Pull),
     };
     fleet::control::Settings {
-        contacts: settings.contacts.clone(),
-        plan,
+        seeds: settings.contacts.clone(),
+        dissemination,
         seed: rand::random(),
         product: VERSION.to_owned(),
         ..fleet::control::Settings::new(parts.own.clone())
@@ -175,7 +174,7 @@
     let work = move || {
         while link.is_open() {
             match socket.hear() {
-                Ok(digest) => link.send(Event::Heard(digest)),
+                Ok(digest) => link.send(Event::Digest(digest)),
                 Err(datagram::Error::Malformed { from, source }) => {
                     let reason = source.to_string();
                     link.send(Event::Note(Kind::BadMessage { peer: from, reason }));
@@ -246,7 +245,7 @@
             // thread is alive.
             Message::Event(Event::Tick) => {}
             Message::Event(event) => self.apply(event, None),
-            Message::Ask(request, reply) => self.apply(Event::Asked(request), Some(reply)),
+            Message::Ask(request, reply) => self.apply(Event::Request(request), Some(reply)),
             Message::Status(reply) => {
                 let status = self.machine.status(now(&self.parts.clock));
                 let _ = reply.send(status);
@@ -274,7 +273,7 @@
                 }
                 Effect::Expected(revision) => self.parts.hub.set_expected(revision),
                 Effect::View(view) => self.parts.hub.set_view(view),
-                Effect::Tell(targets, digest) => self.tell(&targets, &digest),
+                Effect::Gossip(targets, digest) => self.tell(&targets, &digest),
                 Effect::Quarantine(quarantine) => {
                     self.parts.meter.quarantined(quarantine.until.len() as u64);
                     self.parts.hub.set_quarantine(quarantine);
@@ -296,26 +295,26 @@
     }
 
     fn send(&self, peer: SocketAddr, request: Request, timeout: Duration) {
-        let asked = match request {
-            Request::Beat(_) => Asked::Beat,
-            Request::Pull(_) => Asked::Pull,
-            Request::Sync(_) => Asked::Sync,
-            Request::Fetch(_) => Asked::Fetch,
+        let method = match request {
+            Request::Heartbeat(_) => Method::Heartbeat,
+            Request::Pull(_) => Method::Pull,
+            Request::Sync(_) => Method::Sync,
+            Request::Fetch(_) => Method::Fetch,
         };
-        self.parts.meter.message(asked.name());
+        self.parts.meter.message(method.name());
         let link = self.link.clone();
         let meter = self.parts.meter.clone();
         self.parts.peers.spawn(async move {
             let event = match peer::ask(peer, &request, timeout).await {
-                Ok(response) => Event::Answered(peer, response),
+                Ok(response) => Event::Response(peer, response),
                 Err(error) => {
-                    meter.lost(asked.name());
+                    meter.lost(method.name());
                     let malformed = matches!(
                         error,
                         peer::Error::Malformed { .. } | peer::Error::Unpackable { .. }
                     );
                     let malformed = malformed.then(|| error.to_string());
-                    Event::Lost(peer, Lost { asked, malformed })
+                    Event::Failed(peer, Error { method, malformed })
                 }
             };
             link.send(event);
@@ -326,7 +325,7 @@
         self.parts.meter.read();
         let (lane, topic) = match query {
             Query::Config { .. } => (&self.config, Topic::Config),
-            Query::News { .. } => (&self.config, Topic::News),
+            Query::Changes { .. } => (&self.config, Topic::Changes),
             Query::List { .. } => (&self.list, Topic::List),
         };
         if lane.try_send(query).is_err() {
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -232,7 +232,7 @@
     let pulse = move || {
         while link.is_open() {
             if let Some(pause) = hub.beat() {
-                link.send(Event::Woke(pause));
+                link.send(Event::Resumed(pause));
             }
             thread::sleep(PULSE);
         }
--- a/crates/peer/src/datagram.rs
+++ b/crates/peer/src/datagram.rs
@@ -4,7 +4,7 @@
 //! A datagram costs each side one system call and no connection; one that is lost is made good by
 //! the next.
 
-use fleet::message::{Digest, News};
+use fleet::message::{Digest, Piggyback};
 use snafu::{ResultExt, Snafu};
 use std::{
     io,
@@ -77,7 +77,7 @@
     if text.len() <= SIZE_LIMIT {
         return Ok(text);
     }
-    let mut fitting = Digest { news: News::default(), ..digest.clone() };
+    let mut fitting = Digest { piggyback: Piggyback::default(), ..digest.clone() };
     loop {
         let text = serde_json::to_vec(&fitting)?;
         if text.len() <= SIZE_LIMIT || fitting.reports.pop().is_none() {
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -10,7 +10,7 @@
 use fleet::{
     clock::Stamp,
     directory::Update,
-    message::{Beat, Bundle, Fetch, Pull, Request, Response, Sync},
+    message::{Bundle, Fetch, Heartbeat, Pull, Request, Response, Sync},
     status, timeline,
 };
 use jsonrpsee::{
@@ -103,7 +103,9 @@
     timeout: Duration,
 ) -> Result<Response, Error> {
     match request {
-        Request::Beat(beat) => call(peer, "beat", beat, timeout).await.map(Response::Beat),
+        Request::Heartbeat(beat) => {
+            call(peer, "beat", beat, timeout).await.map(Response::Heartbeat)
+        }
         Request::Pull(pull) => pull_packed(peer, pull, timeout).await.map(Response::Pull),
         Request::Sync(sync) => call(peer, "sync", sync, timeout).await.map(Response::Sync),
         Request::Fetch(fetch) => call(peer, "fetch", fetch, timeout).await.map(Response::Fetch),
@@ -172,9 +174,9 @@
 
 fn module(handler: Arc<dyn Handler>) -> RpcModule<Arc<dyn Handler>> {
     let mut module = RpcModule::new(handler);
-    register::<Beat, Beat>(&mut module, "beat", |handler, beat| {
-        map(handler.ask(Request::Beat(beat)), |response| match response {
-            Response::Beat(beat) => Some(beat),
+    register::<Heartbeat, Heartbeat>(&mut module, "beat", |handler, beat| {
+        map(handler.ask(Request::Heartbeat(beat)), |response| match response {
+            Response::Heartbeat(beat) => Some(beat),
             _ => None,
         })
     });
--- a/crates/peer/tests/datagram.rs
+++ b/crates/peer/tests/datagram.rs
@@ -2,8 +2,8 @@
 
 use fleet::{
     directory::{Entry, Standing, Update},
-    message::{Digest, News, Rumour, Sender},
-    quarantine::{End, REPORTS_A_SUMMARY, REPORTS_AT_ONCE, Report},
+    message::{Digest, Piggyback, Rumour, Sender},
+    quarantine::{End, REPORTS_PER_DIGEST, REPORTS_PER_MESSAGE, Report},
 };
 use model::request::Fingerprint;
 use peer::datagram::Socket;
@@ -49,7 +49,7 @@
         leaving: false,
         heard_ms: BTreeMap::new(),
         rumours: Vec::new(),
-        news: News { list: Some(Box::new(list)), config: None },
+        piggyback: Piggyback { list: Some(Box::new(list)), config: None },
         reports: Vec::new(),
     }
 }
@@ -96,7 +96,7 @@
 fn check(entries: u64, expect: Option<usize>) {
     let heard = carry(&digest(entries));
     assert_eq!(heard.list, 34);
-    assert_eq!(heard.news.list.map(|list| list.entries.len()), expect);
+    assert_eq!(heard.piggyback.list.map(|list| list.entries.len()), expect);
 }
 
 /// Hundreds of nodes pull the list at once: the summary that carried the change was longer than a packet,
@@ -112,18 +112,18 @@
 /// anything of them any more.
 #[test]
 fn what_a_summary_tells_of_ends_fits_beside_all_the_rest() {
-    let told = carry(&full(REPORTS_A_SUMMARY as u64));
-    assert_eq!((told.reports.len(), told.rumours.len()), (REPORTS_A_SUMMARY, 6));
+    let told = carry(&full(REPORTS_PER_DIGEST as u64));
+    assert_eq!((told.reports.len(), told.rumours.len()), (REPORTS_PER_DIGEST, 6));
     let told = carry(&full(40));
-    assert!((REPORTS_A_SUMMARY..40).contains(&told.reports.len()));
-    let told = carry(&Digest { reports: full(REPORTS_AT_ONCE as u64).reports, ..digest(0) });
-    assert_eq!(told.reports.len(), REPORTS_AT_ONCE);
+    assert!((REPORTS_PER_DIGEST..40).contains(&told.reports.len()));
+    let told = carry(&Digest { reports: full(REPORTS_PER_MESSAGE as u64).reports, ..digest(0) });
+    assert_eq!(told.reports.len(), REPORTS_PER_MESSAGE);
 }
 
 #[test]
 fn summaries_of_the_former_version_are_understood() {
     let heard: Digest = serde_json::from_str(FORMER).expect("it is a summary");
-    assert!(heard.leaving && heard.news.is_empty() && heard.rumours.is_empty());
+    assert!(heard.leaving && heard.piggyback.is_empty() && heard.rumours.is_empty());
     assert_eq!((heard.config, heard.list, heard.contact_ms), (3, 9, Some(40)));
 }
 
--- a/crates/source/src/lib.rs
+++ b/crates/source/src/lib.rs
@@ -8,13 +8,13 @@
 //! |---|---|
 //! | `GET /v1/config?base=B&after=A&wait_ms=W` | 200 with a [`Delta`] since revision B (no `base`: all), as soon as the revision exceeds A; 204 with `platform-revision` when W ms pass without |
 //! | `GET /v1/instances?after=A&wait_ms=W` | likewise, with a [`Listing`] |
-//! | `GET /v1/news?after=A&wait_ms=W` | likewise, with a [`Bulletin`]: configuration and upstreams under one revision, for nodes in list mode |
+//! | `GET /v1/news?after=A&wait_ms=W` | likewise, with a [`Changeset`]: configuration and upstreams under one revision, for nodes in list mode |
 //!
 //! 429 means that the platform is over its limit of reads.
 
 use fleet::{
     directory::Update,
-    source::{Answer, Bulletin, Failure, Listing, Query, Topic},
+    source::{Answer, Changeset, Failure, Listing, Query, Topic},
 };
 use model::{
     document::{COUNT_LIMIT, DOCUMENT_LIMIT, Delta, SET_LIMIT},
@@ -97,19 +97,19 @@
 impl Source for Http {
     fn read(&self, query: Query) -> Answer {
         match query {
-            Query::News { after, wait } => {
+            Query::Changes { after, wait } => {
                 // A first call asks for everything at once.
                 let wait = after.map_or(Duration::ZERO, |_| wait);
                 let after = after.unwrap_or(0);
                 let path = format!("/v1/news?after={after}&wait_ms={}", wait.as_millis());
-                let unchanged = |revision| Answer::News(nothing_new(revision, after));
+                let unchanged = |revision| Answer::Changes(nothing_new(revision, after));
                 match self.get(&path, wait) {
                     Ok(Found::Nothing(revision)) => unchanged(revision),
                     Ok(Found::Text(text)) => {
-                        let news = parse::<Bulletin>(&text).map(Answer::News);
-                        news.unwrap_or_else(|error| Answer::Failed(Topic::News, failure(error)))
+                        let news = parse::<Changeset>(&text).map(Answer::Changes);
+                        news.unwrap_or_else(|error| Answer::Failed(Topic::Changes, failure(error)))
                     }
-                    Err(error) => Answer::Failed(Topic::News, failure(error)),
+                    Err(error) => Answer::Failed(Topic::Changes, failure(error)),
                 }
             }
             Query::Config { base, after, wait } => {
@@ -129,10 +129,10 @@
     }
 }
 
-fn nothing_new(revision: u64, after: u64) -> Bulletin {
+fn nothing_new(revision: u64, after: u64) -> Changeset {
     let revision = revision.max(after);
     let list = Update { revision, base: Some(after), ..Update::default() };
-    Bulletin { revision, list, ..Bulletin::default() }
+    Changeset { revision, list, ..Changeset::default() }
 }
 
 fn answer(
@@ -149,7 +149,7 @@
 
 fn failure(error: Error) -> Failure {
     match error {
-        Error::Refused => Failure::Refused,
+        Error::Refused => Failure::RateLimited,
         Error::Json { .. } | Error::Content { .. } | Error::Large => {
             Failure::Malformed(Fault::new("platform", "", error.to_string()))
         }
--- a/crates/standins/src/memory.rs
+++ b/crates/standins/src/memory.rs
@@ -10,8 +10,8 @@
 use fleet::{
     clock::Now,
     control::{Control, Event, Settings},
+    dissemination,
     member::{Record, State},
-    plan,
     source::{Instance, Listing},
 };
 use model::{
@@ -61,7 +61,7 @@
     /// Time that a message takes.
     pub latency: Duration,
     /// Creates the plan of each node.
-    pub plan: fn() -> Box<dyn plan::Plan>,
+    pub dissemination: fn() -> Box<dyn dissemination::Strategy>,
     /// Nodes that each node is told of when it starts; 0 leaves only the platform's list.
     pub contacts: usize,
     /// Seed of everything random.
@@ -75,7 +75,7 @@
             data_centres: 2,
             services: 2,
             latency: Duration::from_millis(1),
-            plan: || Box::new(plan::Epidemic::default()),
+            dissemination: || Box::new(dissemination::Epidemic::default()),
             contacts: 4,
             seed: 1,
         }
@@ -225,8 +225,8 @@
         let contacts = (0..count).map(|i| address(i * stride % self.len()));
         let own = self.record(node);
         let settings = Settings {
-            contacts: contacts.collect(),
-            plan: (self.options.plan)(),
+            seeds: contacts.collect(),
+            dissemination: (self.options.dissemination)(),
             seed: self.random.random(),
             ..Settings::new(own)
         };
--- a/crates/standins/src/memory/agenda.rs
+++ b/crates/standins/src/memory/agenda.rs
@@ -1,7 +1,7 @@
 //! What is due when, on the virtual clock.
 
 use fleet::{
-    control::Lost,
+    control::Error,
     message::{Request, Response},
     source::{Answer, Query},
 };
@@ -14,7 +14,7 @@
     Tick(usize, u64),
     Request { call: u64, from: usize, to: usize, request: Request },
     Response { call: u64, from: SocketAddr, to: usize, life: u64, response: Response },
-    Lost { call: u64, from: SocketAddr, to: usize, life: u64, lost: Lost },
+    Lost { call: u64, from: SocketAddr, to: usize, life: u64, lost: Error },
     Source { to: usize, life: u64, answer: Answer },
     Watch { to: usize, life: u64, query: Query, until: Time },
 }
--- a/crates/standins/src/memory/delivery.rs
+++ b/crates/standins/src/memory/delivery.rs
@@ -1,7 +1,7 @@
 //! Delivers messages and the platform's answers to nodes, and carries out their effects.
 
 use fleet::{
-    control::{Asked, Effect, Event, Lost},
+    control::{Effect, Error, Event, Method},
     message::{Request, Response},
     source::{Answer, Failure, Query, Topic},
 };
@@ -46,12 +46,12 @@
             Due::Request { call, from, to, request } => self.serve(call, from, to, request),
             Due::Response { call, from, to, response, .. } => {
                 if self.open.remove(&call) {
-                    self.apply(to, Event::Answered(from, response));
+                    self.apply(to, Event::Response(from, response));
                 }
             }
             Due::Lost { call, from, to, lost, .. } => {
                 if self.open.remove(&call) {
-                    self.apply(to, Event::Lost(from, lost));
+                    self.apply(to, Event::Failed(from, lost));
                 }
             }
             Due::Source { to, answer, .. } => self.apply(to, Event::Source(answer)),
@@ -79,19 +79,19 @@
         // Whether the pause or a waiting message is noticed first is a matter of chance.
         let pause_first = self.random.random_bool(0.5);
         if pause_first {
-            self.apply(node, Event::Woke(span));
+            self.apply(node, Event::Resumed(span));
         }
         for due in held.into_iter().filter(|due| !matches!(due, Due::Tick(..))) {
             self.happen(due);
         }
         if !pause_first {
-            self.apply(node, Event::Woke(span));
+            self.apply(node, Event::Resumed(span));
         }
     }
 
     fn serve(&mut self, call: u64, from: usize, to: usize, request: Request) {
         let life = self.slots[from].life;
-        for effect in self.effects_of(to, Event::Asked(request)) {
+        for effect in self.effects_of(to, Event::Request(request)) {
             if let Effect::Reply(response) = effect {
                 self.count(size_of_response(&response));
                 if !self.is_lost(from, to) {
@@ -106,8 +106,8 @@
     }
 
     /// Tells a caller at once that nobody listens.
-    fn refuse(&mut self, call: u64, from: usize, to: usize, asked: Asked) {
-        let lost = Lost { asked, malformed: None };
+    fn refuse(&mut self, call: u64, from: usize, to: usize, method: Method) {
+        let lost = Error { method, malformed: None };
         let life = self.slots[from].life;
         let due = Due::Lost { call, from: address(to), to: from, life, lost };
         self.put(self.options.latency, due);
@@ -134,7 +134,7 @@
             Effect::Reply(_)
             | Effect::Expected(_)
             | Effect::View(_)
-            | Effect::Tell(..)
+            | Effect::Gossip(..)
             | Effect::Quarantine(_)
             | Effect::Open => {}
         }
@@ -146,7 +146,7 @@
         self.calls += 1;
         let (call, life) = (self.calls, self.slots[from].life);
         self.open.insert(call);
-        let lost = Lost { asked: kind_of(&request), malformed: None };
+        let lost = Error { method: kind_of(&request), malformed: None };
         self.put(timeout, Due::Lost { call, from: peer, to: from, life, lost });
         if self.is_lost(from, to) {
             return;
@@ -166,7 +166,7 @@
         self.counts.reads += 1;
         self.peak = self.peak.max(self.reads.len());
         let life = self.slots[node].life;
-        let (Query::Config { wait, .. } | Query::List { wait, .. } | Query::News { wait, .. }) =
+        let (Query::Config { wait, .. } | Query::List { wait, .. } | Query::Changes { wait, .. }) =
             query;
         let until = self.now + wait;
         let delay =
@@ -179,7 +179,7 @@
         let topic = match query {
             Query::Config { .. } => Topic::Config,
             Query::List { .. } => Topic::List,
-            Query::News { .. } => Topic::News,
+            Query::Changes { .. } => Topic::Changes,
         };
         let life = self.slots[node].life;
         if self.source == Source::Down || self.cut.contains(&node) {
@@ -203,7 +203,7 @@
             Query::Config { .. } => Answer::Unchanged(topic, self.served.version().revision),
             Query::List { .. } => Answer::Unchanged(topic, self.listing.revision),
             // These nodes find each other by gossip and ask for the two things apart.
-            Query::News { .. } => Answer::Failed(topic, Failure::Refused),
+            Query::Changes { .. } => Answer::Failed(topic, Failure::RateLimited),
         };
         self.put(self.options.latency, Due::Source { to: node, life, answer });
     }
@@ -241,19 +241,19 @@
     }
 }
 
-fn kind_of(request: &Request) -> Asked {
+fn kind_of(request: &Request) -> Method {
     match request {
-        Request::Beat(_) => Asked::Beat,
-        Request::Pull(_) => Asked::Pull,
-        Request::Sync(_) => Asked::Sync,
-        Request::Fetch(_) => Asked::Fetch,
+        Request::Heartbeat(_) => Method::Heartbeat,
+        Request::Pull(_) => Method::Pull,
+        Request::Sync(_) => Method::Sync,
+        Request::Fetch(_) => Method::Fetch,
     }
 }
 
 fn size_of_request(request: &Request) -> u64 {
     HEADER_BYTES / 2
         + match request {
-            Request::Beat(beat) => size(beat),
+            Request::Heartbeat(beat) => size(beat),
             Request::Pull(pull) => size(pull),
             Request::Sync(sync) => size(sync),
             Request::Fetch(fetch) => size(fetch),
@@ -263,7 +263,7 @@
 fn size_of_response(response: &Response) -> u64 {
     HEADER_BYTES / 2
         + match response {
-            Response::Beat(beat) => size(beat),
+            Response::Heartbeat(beat) => size(beat),
             Response::Pull(bundle) => size(bundle),
             Response::Sync(sync) => size(sync),
             Response::Fetch(update) => size(update),
--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -3,7 +3,7 @@
 use fleet::{
     directory::{Entry, Removal, Update},
     evacuation::Order,
-    source::{Bulletin, Instance, Listing},
+    source::{Changeset, Instance, Listing},
 };
 use model::document::{DOCUMENT_LIMIT, Delta, Document, Set};
 use std::{
@@ -383,10 +383,10 @@
     }
 
     /// Returns what was written after `after`; all where that is 0.
-    fn bulletin(&self, after: u64) -> Bulletin {
+    fn bulletin(&self, after: u64) -> Changeset {
         let base = Some(after).filter(|&after| after > 0);
         let list = Update { revision: self.revision, base, ..Update::default() };
-        let mut news = Bulletin { revision: self.revision, list, ..Bulletin::default() };
+        let mut news = Changeset { revision: self.revision, list, ..Changeset::default() };
         if self.config_revision > after {
             news.config = Some(self.set.since(None));
         }
--- a/crates/traffic/src/hub/ends.rs
+++ b/crates/traffic/src/hub/ends.rs
@@ -1,6 +1,6 @@
 //! Ends of the own upstream, and the requests that ran then.
 
-use fleet::quarantine::{End, Loss};
+use fleet::quarantine::{Crash, End};
 use model::{
     request::{Fingerprint, Suspect},
     time::Time,
@@ -25,7 +25,7 @@
     /// belong to the same end, or one process would count as several.
     present: Mutex<Option<End>>,
     /// Ends that control has not taken yet.
-    found: Mutex<Vec<Loss>>,
+    found: Mutex<Vec<Crash>>,
     /// Suspected requests that were answered, which control has not taken yet.
     cleared: Mutex<Vec<Fingerprint>>,
 }
@@ -72,7 +72,7 @@
         let suspects = runs.end(now);
         if !suspects.is_empty() {
             let end = *lock(&self.present).get_or_insert_with(|| End(rand::random()));
-            lock(&self.found).push(Loss { end, suspects });
+            lock(&self.found).push(Crash { end, suspects });
         }
     }
 
@@ -92,7 +92,7 @@
     }
 
     /// Takes the ends that were found since the last time.
-    pub(crate) fn take(&self) -> Vec<Loss> {
+    pub(crate) fn take(&self) -> Vec<Crash> {
         std::mem::take(&mut *lock(&self.found))
     }
 }
--- a/crates/traffic/src/hub/quarantine.rs
+++ b/crates/traffic/src/hub/quarantine.rs
@@ -1,6 +1,6 @@
 //! Which calls must not run, since upstreams ended under such ones, and what this node adds to that.
 
-use fleet::quarantine::{Loss, Quarantine};
+use fleet::quarantine::{Crash, Quarantine};
 use model::request::Fingerprint;
 use policy::outcome::{Cause, Outcome};
 use std::sync::Arc;
@@ -21,7 +21,7 @@
     }
 
     /// Takes the ends of the own upstream that were found since the last time, with what ran at each.
-    pub fn take_ends(&self) -> Vec<Loss> {
+    pub fn take_ends(&self) -> Vec<Crash> {
         let ends = self.ends.take();
         ends.iter().for_each(|_| self.meter.upstream_end());
         ends
--- a/crates/traffic/src/hub/warmup.rs
+++ b/crates/traffic/src/hub/warmup.rs
@@ -37,6 +37,6 @@
 /// Returns until when an upstream is cold. Whether it became so while its data centre was evacuated is told
 /// too late, so it counts as cold from the moment at which that was taken back.
 fn cold_until(upstream: &Upstream, warm_up: WarmUp) -> Time {
-    let after_evacuation = upstream.taken_back.map(|at| at + warm_up.length);
+    let after_evacuation = upstream.readmitted_at.map(|at| at + warm_up.length);
     upstream.cold_until.max(after_evacuation.unwrap_or_default())
 }
--- a/crates/traffic/tests/quarantine.rs
+++ b/crates/traffic/tests/quarantine.rs
@@ -2,7 +2,7 @@
 
 mod scene;
 
-use fleet::quarantine::{Loss, Quarantine};
+use fleet::quarantine::{Crash, Quarantine};
 use model::{request::Fingerprint, time::Time};
 use scene::{Act, Scene, header, request, status};
 use std::{cell::RefCell, io::Write, sync::Arc, thread, time::Duration};
@@ -14,7 +14,7 @@
 const HELD: u64 = 1_000;
 
 /// Returns what ran when the upstream of `node` ended, once that is found.
-fn ended(scene: &Scene, node: usize) -> Loss {
+fn ended(scene: &Scene, node: usize) -> Crash {
     let found = RefCell::new(Vec::new());
     scene.wait(|| {
         found.borrow_mut().extend(scene.hubs[node].take_ends());
@@ -26,7 +26,7 @@
 }
 
 /// Ends the only upstream by `bytes`, and starts it again.
-fn lose(scene: &Scene, bytes: &str) -> Loss {
+fn lose(scene: &Scene, bytes: &str) -> Crash {
     scene.upstreams[0].set(Act::End);
     assert_eq!(status(&scene.exchange(0, bytes)), "502");
     let loss = ended(scene, 0);
--- a/crates/traffic/tests/scene/mod.rs
+++ b/crates/traffic/tests/scene/mod.rs
@@ -432,7 +432,7 @@
         state: State::Live,
         slots,
         cold_until: Time::default(),
-        taken_back: None,
+        readmitted_at: None,
     }
 }
 
--- a/xtask/src/bench/memory.rs
+++ b/xtask/src/bench/memory.rs
@@ -3,7 +3,7 @@
 //! The decision code is the product's own; only messages and bytes are counted and times are those
 //! of the virtual clock, at one millisecond per message.
 
-use fleet::plan::{Epidemic, Plan, Pull, Tree};
+use fleet::dissemination::{Epidemic, Pull, Strategy, Tree};
 use standins::memory::{Net, Options};
 use std::time::Duration;
 
@@ -16,12 +16,12 @@
 const LIMIT: Duration = Duration::from_secs(30);
 
 /// A way of spreading and its name.
-type Way = (&'static str, fn() -> Box<dyn Plan>);
+type Way = (&'static str, fn() -> Box<dyn Strategy>);
 
 const WAYS: [Way; 4] = [
     ("epidemic", || Box::new(Epidemic::default())),
     ("epidemic-no-ring", || {
-        Box::new(Epidemic { near_least: 2, near_most: 5, successors: 0, ..Epidemic::default() })
+        Box::new(Epidemic { min_local: 2, max_local: 5, successors: 0, ..Epidemic::default() })
     }),
     ("tree", || Box::new(Tree::default())),
     ("pull", || Box::new(Pull)),
@@ -36,12 +36,12 @@
     }
 }
 
-fn measure(nodes: usize, (name, plan): Way, report: &mut Report) {
+fn measure(nodes: usize, (name, dissemination): Way, report: &mut Report) {
     let mut net = Net::new(Options {
         nodes,
         data_centres: 6,
         services: 48.min(nodes),
-        plan,
+        dissemination,
         ..Options::default()
     });
     let text = |ms: u64| format!(r#"{{"deadline_ms": {}}}"#, 1_000 + ms);
