--- a/crates/fleet/src/listed.rs
+++ b/crates/fleet/src/listed.rs
@@ -11,17 +11,15 @@
 //! Invariant *one way in*: [`Control::apply`] is the only way to change the state.
 
 mod changes;
-mod ends;
-mod known;
-mod news;
+mod partition;
 mod peers;
-mod places;
 mod pull;
+mod reports;
 mod rounds;
 mod rumours;
-mod watch;
-
-pub use self::watch::Settings as Reading;
+mod updates;
+mod view;
+pub mod watch;
 
 use model::time::Time;
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
@@ -106,7 +104,7 @@
     /// How long a starting node listens for others before it turns to the platform.
     pub join_wait: Duration,
     /// When the platform is called.
-    pub reading: Reading,
+    pub watch: watch::Settings,
     /// Seed of all random choices.
     pub seed: u64,
     /// Product version told to operators.
@@ -154,7 +152,7 @@
             fence: Fence::default(),
             draft: Draft::default(),
             directory: Directory::default(),
-            watch: Watch::new(settings.reading, first_call),
+            watch: Watch::new(settings.watch, first_call),
             peers: Peers::new(settings.address, settings.link_mbps, settings.data_centre.clone()),
             pulls: Pulls::default(),
             quarantine: Register::default(),
--- a/crates/fleet/src/listed/places.rs
+++ b/crates/fleet/src/listed/partition.rs
@@ -43,11 +43,11 @@
 
 /// When each data centre was last heard of.
 #[derive(Debug, Default)]
-pub(super) struct Places {
+pub(super) struct Detector {
     words: BTreeMap<String, Word>,
 }
 
-impl Places {
+impl Detector {
     /// Notes that a node of `place` spoke to this one.
     pub(super) fn hear(&mut self, place: &str, now: Time) {
         let word = Word { own: now, any: now };
--- a/crates/fleet/src/listed/peers.rs
+++ b/crates/fleet/src/listed/peers.rs
@@ -13,7 +13,7 @@
 
 use crate::{
     listed::{
-        places::Places,
+        partition::Detector,
         rounds::{self, Rounds, Target},
         rumours::Rumours,
     },
@@ -142,7 +142,7 @@
     /// Nodes of the own data centre when last looked at.
     near: usize,
     peers: BTreeMap<SocketAddr, Peer>,
-    places: Places,
+    partitions: Detector,
     rounds: Rounds,
     rumours: Rumours,
 }
@@ -157,7 +157,7 @@
             silent: Vec::new(),
             near: 0,
             peers: BTreeMap::new(),
-            places: Places::default(),
+            partitions: Detector::default(),
             rounds: Rounds::default(),
             rumours: Rumours::default(),
         }
@@ -175,7 +175,7 @@
             self.peers.iter().map(reach).filter(|(_, reach)| *reach != Reach::Heard).collect();
         let silent = match self.is_whole() {
             true => Vec::new(),
-            false => self.places.silent(&self.data_centre, self.near, now),
+            false => self.partitions.silent(&self.data_centre, self.near, now),
         };
         let changed = missing != self.missing || silent != self.silent;
         self.missing = missing;
@@ -219,8 +219,8 @@
             return false;
         }
         let near = digest.data_centre == self.data_centre;
-        self.places.hear(&digest.data_centre, now);
-        self.places.hear_of(&digest.heard_ms, now);
+        self.partitions.hear(&digest.data_centre, now);
+        self.partitions.hear_of(&digest.heard_ms, now);
         let mut changed = false;
         for rumour in &digest.rumours {
             changed |= self.hear_rumour(*rumour, address, now);
@@ -281,13 +281,13 @@
         if self.is_whole() {
             return (BTreeMap::new(), Vec::new());
         }
-        (self.places.ages_ms(&self.data_centre, now), self.rumours.next())
+        (self.partitions.ages_ms(&self.data_centre, now), self.rumours.next())
     }
 
     /// Forgets the silence so far: this process did not run, so it heard nobody.
     pub(super) fn wake(&mut self, now: Time) {
         self.peers.values_mut().for_each(|peer| peer.heard = now);
-        self.places.wake(now);
+        self.partitions.wake(now);
     }
 
     /// Drops nodes that are neither listed nor heard of.
--- a/crates/fleet/src/listed/rounds.rs
+++ b/crates/fleet/src/listed/rounds.rs
@@ -5,7 +5,7 @@
 //! summaries a second, 30 KB each way, more the more nodes there are. Beyond [`WHOLE_MOST`] nodes a node
 //! sends a fixed number, more of them within its data centre, each group in turn. News spread as fast,
 //! since whoever has learnt them tells them on; who is gone is told by other means, see
-//! [`super::places`] and [`super::rumours`].
+//! [`super::partition`] and [`super::rumours`].
 
 use model::time::Time;
 use rand::{rngs::SmallRng, seq::SliceRandom};
--- a/crates/fleet/src/listed/watch.rs
+++ b/crates/fleet/src/listed/watch.rs
@@ -16,7 +16,7 @@
     pub readers: usize,
     /// How long the platform may hold a call of a node that knows no other one, as when the whole
     /// fleet starts and nobody is listed yet.
-    pub lonely_wait: Duration,
+    pub bootstrap_wait: Duration,
     /// How long the platform may hold a call. A connection that went silent shows only when this
     /// time and the adapter's patience are over, so it is well under the two seconds in which an
     /// upstream that leaves must be left alone.
@@ -26,35 +26,35 @@
     pub pause: Duration,
     /// Age of the freshest contact after which the first node that is no reader steps in: the
     /// wait of a watch and the time until its answer is heard of.
-    pub silence: Duration,
-    /// Added to `silence` for each further place, so that one node steps in and not all.
-    pub silence_step: Duration,
-    /// Most places that are counted for `silence_step`.
-    pub silence_places: usize,
+    pub standby_after: Duration,
+    /// Added to `standby_after` for each further place, so that one node steps in and not all.
+    pub standby_step: Duration,
+    /// Most places that are counted for `standby_step`.
+    pub max_standby_steps: usize,
     /// Time without any node's contact that counts as an outage of the platform. Entries lapse
     /// after three missed heartbeats, which take longer; a call of one node that was lost, while
     /// others were answered, is none.
     pub outage: Duration,
-    /// First upper bound of the random pause after a failed call; doubled up to `backoff_most`.
-    pub backoff_least: Duration,
+    /// First upper bound of the random pause after a failed call; doubled up to `max_backoff`.
+    pub min_backoff: Duration,
     /// Upper bound of the random pause after failed calls. Below the two seconds in which entries
     /// of upstreams are back after an outage.
-    pub backoff_most: Duration,
+    pub max_backoff: Duration,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Settings {
             readers: 3,
-            lonely_wait: Duration::from_millis(3_000),
+            bootstrap_wait: Duration::from_millis(3_000),
             wait: Duration::from_millis(800),
             pause: Duration::from_millis(250),
-            silence: Duration::from_millis(1_150),
-            silence_step: Duration::from_millis(100),
-            silence_places: 6,
+            standby_after: Duration::from_millis(1_150),
+            standby_step: Duration::from_millis(100),
+            max_standby_steps: 6,
             outage: Duration::from_millis(2_000),
-            backoff_least: Duration::from_millis(150),
-            backoff_most: Duration::from_millis(1_000),
+            min_backoff: Duration::from_millis(150),
+            max_backoff: Duration::from_millis(1_000),
         }
     }
 }
@@ -103,8 +103,8 @@
         if rank < readers {
             return true;
         }
-        let place = (rank - readers).min(self.settings.silence_places) as u32;
-        let limit = self.settings.silence + spread + self.settings.silence_step * place;
+        let place = (rank - readers).min(self.settings.max_standby_steps) as u32;
+        let limit = self.settings.standby_after + spread + self.settings.standby_step * place;
         let silent = self.contact.is_none_or(|contact| now.since(contact) > limit);
         if silent {
             cov_mark::hit!(listed_standby);
@@ -115,7 +115,7 @@
     /// Begins a call; returns how long the platform may hold it.
     pub(super) fn begin(&mut self, lonely: bool) -> Duration {
         self.busy = true;
-        if lonely { self.settings.lonely_wait } else { self.settings.wait }
+        if lonely { self.settings.bootstrap_wait } else { self.settings.wait }
     }
 
     /// Notes an answer; returns whether the platform had failed this node before.
@@ -132,8 +132,8 @@
     ///
     /// The pause is random, or nodes that failed together would come back together.
     pub(super) fn fail(&mut self, now: Time, random: &mut SmallRng) -> bool {
-        let doubled = self.settings.backoff_least * 2u32.pow(self.failures.min(8));
-        let bound = doubled.min(self.settings.backoff_most);
+        let doubled = self.settings.min_backoff * 2u32.pow(self.failures.min(8));
+        let bound = doubled.min(self.settings.max_backoff);
         self.busy = false;
         self.failures += 1;
         self.due = now + bound.mul_f64(random.random_range(0.5..1.0));
--- a/crates/fleet/tests/evacuation.rs
+++ b/crates/fleet/tests/evacuation.rs
@@ -107,7 +107,7 @@
     net.treat_all(Treatment::Refuse);
     net.run(500);
     net.take_back("b");
-    net.forget();
+    net.compact();
     net.treat_all(Treatment::Serve);
     net.until(5_000, is_back);
 }
--- a/crates/fleet/tests/growth.rs
+++ b/crates/fleet/tests/large_config.rs
@@ -102,7 +102,7 @@
     for (slow, lossy) in [(1, 0), (SLOW, 4)] {
         let mut net = calm(2);
         net.links.iter_mut().filter(|link| **link == 2).for_each(|link| *link = slow);
-        net.lossy = lossy;
+        net.pull_loss = lossy;
         net.store.routes += ADDED;
         let revision = net.publish();
         net.until(15_000, |net| net.all(|n| n.in_force == revision));
@@ -156,13 +156,13 @@
         net.store.routes += ADDED;
         let revision = net.publish();
         net.until(1_000, |net| net.node(6).expected == revision);
-        let before = net.pulls[6];
+        let before = net.pulls_sent[6];
         for _ in 0..pauses {
             net.run(30);
-            net.tell(6, Event::Woke(Duration::from_millis(600)));
+            net.inject(6, Event::Woke(Duration::from_millis(600)));
         }
         net.until(20_000, |net| net.node(6).in_force == revision);
-        net.pulls[6] - before
+        net.pulls_sent[6] - before
     };
     assert!(questions(5) <= questions(0) + 2);
 }
--- a/crates/fleet/tests/hundreds.rs
+++ b/crates/fleet/tests/large_fleet.rs
@@ -76,14 +76,16 @@
     for part in [20, PART] {
         let mut net = fleet(part);
         net.run(6_000);
-        let (told, far) = (net.told.clone(), net.told_far.clone());
-        let heard = net.heard_bytes.clone();
+        let (told, far) = (net.digests_sent.clone(), net.far_digests_sent.clone());
+        let heard = net.bytes_received.clone();
         net.run(10_000);
-        let nodes = net.told.len();
-        let sent = (0..nodes).map(|n| net.told[n] - told[n]).max().expect("there are nodes");
+        let nodes = net.digests_sent.len();
+        let sent =
+            (0..nodes).map(|n| net.digests_sent[n] - told[n]).max().expect("there are nodes");
         let bytes: u64 =
-            (0..nodes).map(|n| net.heard_bytes[n] - heard[n]).sum::<u64>() / nodes as u64;
-        let sent_far = (0..nodes).map(|n| net.told_far[n] - far[n]).max().expect("there are nodes");
+            (0..nodes).map(|n| net.bytes_received[n] - heard[n]).sum::<u64>() / nodes as u64;
+        let sent_far =
+            (0..nodes).map(|n| net.far_digests_sent[n] - far[n]).max().expect("there are nodes");
         assert!(sent <= SUMMARIES, "{sent} of one node in ten seconds");
         assert!(sent_far <= FAR_SUMMARIES, "{sent_far} of one node to other data centres");
         costs.push(bytes);
@@ -104,11 +106,11 @@
 #[test]
 fn a_change_crosses_between_data_centres_few_times() {
     let mut net = calm();
-    let before: u64 = net.told_far.iter().sum();
+    let before: u64 = net.far_digests_sent.iter().sum();
     let revision = net.publish();
     let took = net.until(KNOWN, |net| net.all(|n| n.in_force == revision));
     let turns = NODES as u64 * FAR_SUMMARIES * (took + 400) / 10_000;
-    let far = net.told_far.iter().sum::<u64>() - before;
+    let far = net.far_digests_sent.iter().sum::<u64>() - before;
     assert!(far <= turns + NODES as u64 / 4, "{far}, of which {turns} in turn");
 }
 
@@ -117,10 +119,10 @@
 #[test]
 fn a_small_change_is_asked_for_by_few() {
     let mut net = calm();
-    let before: u64 = net.pulls.iter().sum();
+    let before: u64 = net.pulls_sent.iter().sum();
     let revision = net.publish();
     net.until(KNOWN, |net| net.all(|n| n.in_force == revision));
-    let asked = net.pulls.iter().sum::<u64>() - before;
+    let asked = net.pulls_sent.iter().sum::<u64>() - before;
     assert!(asked <= NODES as u64 / 10, "{asked}");
 }
 
@@ -129,7 +131,7 @@
 fn an_upstream_that_leaves_is_known_at_hundreds_in_a_second() {
     for lossy in [0, 10] {
         let mut net = calm();
-        net.lossy_summaries = lossy;
+        net.digest_loss = lossy;
         net.register(100, "i-100", Standing::Leaving);
         net.until(KNOWN, |net| (0..NODES).all(|n| !is_target(net, n, 100)));
         net.unregister("i-100");
@@ -147,8 +149,8 @@
 #[test]
 fn a_node_that_leaves_and_dies_is_known_at_hundreds() {
     let mut net = calm();
-    net.lossy_summaries = 10;
-    net.tell(70, Event::Leave);
+    net.digest_loss = 10;
+    net.inject(70, Event::Leave);
     net.kill(70);
     net.until(KNOWN, |net| (0..NODES).all(|n| n == 70 || !is_target(net, n, 70)));
 }
@@ -204,7 +206,7 @@
 #[test]
 fn nodes_of_two_product_versions_agree() {
     let mut net = fleet(PART);
-    net.plain = (0..NODES).step_by(2).collect();
+    net.old_version = (0..NODES).step_by(2).collect();
     net.until(4_000, |net| net.all(|n| n.open && n.view.iter().count() == NODES));
     net.run(2_000);
     let revision = net.publish();
@@ -243,7 +245,7 @@
             news: News::default(),
             reports: Vec::new(),
         };
-        net.tell(0, Event::Heard(digest));
+        net.inject(0, Event::Heard(digest));
     }
     net.run(1_500);
     assert!((0..NODES).all(|n| net.target_count(n) == NODES));
--- a/crates/fleet/tests/listed.rs
+++ b/crates/fleet/tests/listed.rs
@@ -70,7 +70,7 @@
     let mut net = calm();
     let targets = |net: &Net, id: &str| (0..7).any(|n| net.targets(n).contains(&id.to_owned()));
     net.treat(1, Treatment::Refuse);
-    net.spoil("i-3");
+    net.write_malformed("i-3");
     net.until(BOUND, |net| !targets(net, "i-3"));
     net.kill(5);
     net.start(5);
@@ -158,16 +158,16 @@
 fn a_change_in_a_forgotten_stretch_of_history_is_found() {
     let mut net = calm();
     net.unregister("i-2");
-    net.forget();
+    net.compact();
     net.publish();
-    net.forget();
+    net.compact();
     net.until(BOUND, |net| (0..7).all(|n| !net.targets(n).contains(&"i-2".to_owned())));
 }
 
 #[test]
 fn a_node_that_leaves_gets_no_more_calls_and_its_next_life_does() {
     let mut net = calm();
-    net.tell(1, Event::Leave);
+    net.inject(1, Event::Leave);
     net.until(100, |net| (0..7).all(|n| n == 1 || !net.targets(n).contains(&"i-1".to_owned())));
     net.kill(1);
     net.run(700);
--- a/crates/fleet/tests/net/mod.rs
+++ b/crates/fleet/tests/net/mod.rs
@@ -9,7 +9,7 @@
     clock::Now,
     control::{Asked, Effect, Event, Lost},
     directory::{Entry, Standing},
-    listed::{Control, Reading, Settings},
+    listed::{Control, Settings, watch},
     message::{Digest, News, Request, Response},
     quarantine::Quarantine,
     source::{Answer, Failure, Query, Topic},
@@ -76,19 +76,19 @@
     cut: BTreeSet<(usize, usize)>,
     pub(crate) reads: u64,
     /// Every how many questions for the configuration one is lost; 0 for none.
-    pub(crate) lossy: u64,
+    pub(crate) pull_loss: u64,
     /// Nodes of a product version whose summaries say nothing of other nodes and carry no changes.
-    pub(crate) plain: BTreeSet<usize>,
+    pub(crate) old_version: BTreeSet<usize>,
     /// Every how many summaries one is lost; 0 for none.
-    pub(crate) lossy_summaries: u64,
+    pub(crate) digest_loss: u64,
     /// Questions for the configuration that a node sent.
-    pub(crate) pulls: Vec<u64>,
+    pub(crate) pulls_sent: Vec<u64>,
     /// Summaries that a node sent.
-    pub(crate) told: Vec<u64>,
+    pub(crate) digests_sent: Vec<u64>,
     /// Summaries that a node sent to other data centres.
-    pub(crate) told_far: Vec<u64>,
+    pub(crate) far_digests_sent: Vec<u64>,
     /// Bytes of summaries that arrived at a node, without those of the network's own headers.
-    pub(crate) heard_bytes: Vec<u64>,
+    pub(crate) bytes_received: Vec<u64>,
     /// Revisions that a node put into force after a higher one.
     pub(crate) regressions: Vec<(usize, u64, u64)>,
 }
@@ -132,13 +132,13 @@
             treatment: vec![Treatment::Serve; zones.len()],
             cut: BTreeSet::new(),
             reads: 0,
-            lossy: 0,
-            plain: BTreeSet::new(),
-            lossy_summaries: 0,
-            pulls: vec![0; zones.len()],
-            told: vec![0; zones.len()],
-            told_far: vec![0; zones.len()],
-            heard_bytes: vec![0; zones.len()],
+            pull_loss: 0,
+            old_version: BTreeSet::new(),
+            digest_loss: 0,
+            pulls_sent: vec![0; zones.len()],
+            digests_sent: vec![0; zones.len()],
+            far_digests_sent: vec![0; zones.len()],
+            bytes_received: vec![0; zones.len()],
             regressions: Vec::new(),
         };
         net.publish();
@@ -161,7 +161,7 @@
             incarnation: self.nodes[node].life,
             link_mbps: self.links[node],
             join_wait: Duration::from_millis(20),
-            reading: Reading::default(),
+            watch: watch::Settings::default(),
             seed: node as u64 * 1_000 + self.nodes[node].life,
             product: String::new(),
         };
@@ -179,7 +179,7 @@
         self.nodes[node].life += 1;
     }
 
-    pub(crate) fn tell(&mut self, node: usize, event: Event) {
+    pub(crate) fn inject(&mut self, node: usize, event: Event) {
         self.apply(node, event);
     }
 
@@ -244,12 +244,12 @@
     }
 
     /// Writes a value that names no upstream.
-    pub(crate) fn spoil(&mut self, id: &str) -> u64 {
-        self.store.write(id, Value::Nonsense)
+    pub(crate) fn write_malformed(&mut self, id: &str) -> u64 {
+        self.store.write(id, Value::Malformed)
     }
 
     pub(crate) fn unregister(&mut self, id: &str) -> u64 {
-        self.store.write(id, Value::Gone)
+        self.store.write(id, Value::Deleted)
     }
 
     /// Has the data centre `zone` evacuated.
@@ -259,7 +259,7 @@
 
     /// Takes the data centre `zone` back.
     pub(crate) fn take_back(&mut self, zone: &str) -> u64 {
-        self.store.write_order(zone, Value::Gone)
+        self.store.write_order(zone, Value::Deleted)
     }
 
     /// Writes an entry of an upstream that stays cold for `cold_ms`.
@@ -269,8 +269,8 @@
     }
 
     /// Drops the store's history, as a compaction does.
-    pub(crate) fn forget(&mut self) {
-        self.store.forget();
+    pub(crate) fn compact(&mut self) {
+        self.store.compact();
     }
 
     pub(crate) fn node(&self, node: usize) -> &Node {
@@ -407,16 +407,17 @@
                 let targets: Vec<usize> =
                     targets.into_iter().filter_map(|t| self.index(t)).collect();
                 for to in targets {
-                    self.told[node] += 1;
-                    self.told_far[node] += u64::from(self.zones[node] != self.zones[to]);
-                    let is_lost = self.lossy_summaries > 0
-                        && self.told[node].is_multiple_of(self.lossy_summaries);
+                    self.digests_sent[node] += 1;
+                    self.far_digests_sent[node] += u64::from(self.zones[node] != self.zones[to]);
+                    let is_lost = self.digest_loss > 0
+                        && self.digests_sent[node].is_multiple_of(self.digest_loss);
                     if is_lost || self.cut.contains(&(node, to)) {
                         continue;
                     }
-                    self.heard_bytes[to] += bytes as u64;
+                    self.bytes_received[to] += bytes as u64;
                     let life = self.nodes[to].life;
-                    let is_plain = self.plain.contains(&node) || self.plain.contains(&to);
+                    let is_plain =
+                        self.old_version.contains(&node) || self.old_version.contains(&to);
                     let digest = if is_plain { plain(&digest) } else { digest.clone() };
                     self.put(DELAY, Due::Event(to, life, Event::Heard(digest)));
                 }
@@ -455,9 +456,9 @@
         timeout: Duration,
     ) {
         let asked = asked(&request);
-        self.pulls[node] += u64::from(asked == Asked::Pull);
+        self.pulls_sent[node] += u64::from(asked == Asked::Pull);
         let until = self.now + timeout.as_millis() as u64;
-        let is_lost = self.lossy > 0 && self.pulls[node].is_multiple_of(self.lossy);
+        let is_lost = self.pull_loss > 0 && self.pulls_sent[node].is_multiple_of(self.pull_loss);
         let reachable = self
             .index(peer)
             .filter(|_| !(is_lost && asked == Asked::Pull))
@@ -495,7 +496,7 @@
             return self.fail(node, life, SILENCE, failure);
         }
         let Query::News { after, .. } = query else { return };
-        let forgotten = after.is_some_and(|after| self.store.has_forgotten(after));
+        let forgotten = after.is_some_and(|after| self.store.is_compacted(after));
         if forgotten {
             return self.fail(node, life, 1, Failure::Forgotten);
         }
--- a/crates/fleet/tests/net/store.rs
+++ b/crates/fleet/tests/net/store.rs
@@ -23,8 +23,8 @@
 #[derive(Clone)]
 pub(crate) enum Value {
     Entry(Entry),
-    Gone,
-    Nonsense,
+    Deleted,
+    Malformed,
     Config(Content),
     /// An order to evacuate the data centre that the key names.
     Evacuation,
@@ -76,12 +76,12 @@
     }
 
     /// Drops the history.
-    pub(crate) fn forget(&mut self) {
+    pub(crate) fn compact(&mut self) {
         self.history.clear();
     }
 
     /// Tells whether something that was written since `after` is no longer remembered.
-    pub(crate) fn has_forgotten(&self, after: u64) -> bool {
+    pub(crate) fn is_compacted(&self, after: u64) -> bool {
         let known = self.history.first().map_or(self.revision, |(first, _)| first - 1);
         after < known
     }
@@ -94,7 +94,7 @@
         let mut orders = Vec::new();
         for (key, (revision, value)) in self.values.iter().filter(|(_, (at, _))| is_new(*at)) {
             if let Some(data_centre) = key.strip_prefix(EVACUATIONS) {
-                let withdrawn = matches!(value, Value::Gone);
+                let withdrawn = matches!(value, Value::Deleted);
                 if !withdrawn || after.is_some() {
                     let data_centre = data_centre.to_owned();
                     orders.push(Order { data_centre, revision: *revision, withdrawn });
@@ -105,9 +105,9 @@
             let removal = Removal { id, revision: *revision, ..Removal::default() };
             match value {
                 Value::Entry(entry) => news.list.entries.push(entry.clone()),
-                Value::Gone if after.is_some() => news.list.removed.push(removal),
-                Value::Gone => {}
-                Value::Nonsense => {
+                Value::Deleted if after.is_some() => news.list.removed.push(removal),
+                Value::Deleted => {}
+                Value::Malformed => {
                     news.list.removed.push(Removal { reason: Reason::Unusable, ..removal });
                 }
                 Value::Config(content) => news.config = Some(self.config(*revision, *content)),
--- a/crates/fleet/tests/quarantine.rs
+++ b/crates/fleet/tests/quarantine.rs
@@ -43,7 +43,7 @@
 }
 
 fn end(net: &mut Net, node: usize, requests: &[Fingerprint]) {
-    net.tell(node, Event::UpstreamEnded(loss(node as u32, requests)));
+    net.inject(node, Event::UpstreamEnded(loss(node as u32, requests)));
 }
 
 fn is_held(net: &Net, request: Fingerprint) -> bool {
@@ -78,7 +78,7 @@
 #[test]
 fn lost_words_are_made_good() {
     let mut net = calm(&PLACES, NODES);
-    net.lossy_summaries = 2;
+    net.digest_loss = 2;
     for node in [0, 4, 8] {
         end(&mut net, node, &[FATAL]);
     }
@@ -132,7 +132,7 @@
     net.kill(3);
     for node in 4..40 {
         let ran: Vec<Fingerprint> = (0..8).map(|n| Fingerprint(node as u64 * 100 + n)).collect();
-        net.tell(node, Event::UpstreamEnded(loss(1_000 + node as u32, &ran)));
+        net.inject(node, Event::UpstreamEnded(loss(1_000 + node as u32, &ran)));
     }
     net.run(500);
     net.start(3);
@@ -148,7 +148,7 @@
         end(&mut net, node, &[FATAL, OTHER]);
     }
     net.until(KNOWN, |net| is_held(net, OTHER));
-    net.tell(2, Event::Cleared(OTHER));
+    net.inject(2, Event::Cleared(OTHER));
     let is_cleared = |net: &Net| net.all(|node| !node.quarantine.until.contains_key(&OTHER));
     net.until(KNOWN, is_cleared);
     net.run(10_000);
@@ -160,7 +160,7 @@
 fn hundreds_of_nodes_know_in_time() {
     const LARGE: [&str; 5] = ["a", "b", "c", "d", "e"];
     let mut net = calm(&LARGE, 295);
-    net.lossy_summaries = 3;
+    net.digest_loss = 3;
     for node in [10, 100, 290] {
         end(&mut net, node, &[FATAL, Fingerprint(node as u64 + 100)]);
         net.run(3);
@@ -178,14 +178,14 @@
         end(&mut net, node, &ran);
     }
     net.run(20_000);
-    let before: u64 = net.heard_bytes.iter().sum();
+    let before: u64 = net.bytes_received.iter().sum();
     net.run(10_000);
-    let after: u64 = net.heard_bytes.iter().sum();
+    let after: u64 = net.bytes_received.iter().sum();
     let mut idle = calm(&PLACES, NODES);
     idle.run(20_000);
-    let idle_before: u64 = idle.heard_bytes.iter().sum();
+    let idle_before: u64 = idle.bytes_received.iter().sum();
     idle.run(10_000);
-    let idle_after: u64 = idle.heard_bytes.iter().sum();
+    let idle_after: u64 = idle.bytes_received.iter().sum();
     let (told, usual) = (after - before, idle_after - idle_before);
     assert!(told <= usual + usual / 20, "{told} bytes in ten seconds, usually {usual}");
 }
@@ -198,13 +198,13 @@
     for request in 0..40 {
         for number in 0..3 {
             let loss = loss(request * 3 + number, &[Fingerprint(request.into())]);
-            net.tell(number as usize * 4, Event::UpstreamEnded(loss));
+            net.inject(number as usize * 4, Event::UpstreamEnded(loss));
         }
     }
     net.run(30_000);
-    let before: u64 = net.heard_bytes.iter().sum();
+    let before: u64 = net.bytes_received.iter().sum();
     net.run(10_000);
-    let a_node = (net.heard_bytes.iter().sum::<u64>() - before) / NODES as u64 / 10;
+    let a_node = (net.bytes_received.iter().sum::<u64>() - before) / NODES as u64 / 10;
     assert!(a_node < 8_000, "{a_node} bytes a second and node");
     net.kill(3);
     net.start(3);
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -164,7 +164,7 @@
         incarnation: parts.own.incarnation,
         link_mbps: settings.link_mbps,
         join_wait: JOIN_WAIT,
-        reading: listed::Reading::default(),
+        watch: listed::watch::Settings::default(),
         seed: rand::random(),
         product: VERSION.to_owned(),
     }
