--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -20,7 +20,7 @@
 use std::{io, net::SocketAddr, sync::Arc, thread, time::Duration};
 use telemetry::metric::Meter;
 use tokio::{runtime::Handle, sync::oneshot};
-use traffic::{Clock, Hub};
+use traffic::{Clock, Proxy};
 
 use crate::{
     VERSION, now,
@@ -55,7 +55,7 @@
 pub(crate) struct Parts {
     pub(crate) own: Record,
     pub(crate) source: Arc<dyn Source>,
-    pub(crate) hub: Arc<Hub>,
+    pub(crate) proxy: Arc<Proxy>,
     pub(crate) clock: Clock,
     pub(crate) meter: Arc<Meter>,
     pub(crate) peers: Handle,
@@ -222,7 +222,7 @@
                     Err(_) => return,
                 },
                 recv(ticks) -> _ => {
-                    self.take_ends();
+                    self.take_crashes();
                     self.apply(Event::Tick, None);
                 }
                 recv(collections) -> _ => self.collect(),
@@ -231,11 +231,11 @@
     }
 
     /// Takes what traffic found out about the ends of the own upstream.
-    fn take_ends(&mut self) {
-        for loss in self.parts.hub.take_ends() {
+    fn take_crashes(&mut self) {
+        for loss in self.parts.proxy.take_crashes() {
             self.apply(Event::UpstreamEnded(loss), None);
         }
-        for request in self.parts.hub.take_cleared() {
+        for request in self.parts.proxy.take_cleared() {
             self.apply(Event::Cleared(request), None);
         }
     }
@@ -270,17 +270,17 @@
                 Effect::Read(query) => self.read(query),
                 Effect::InForce(snapshot) => {
                     self.parts.meter.revision(snapshot.version.revision);
-                    self.parts.hub.set_config(snapshot);
+                    self.parts.proxy.set_config(snapshot);
                 }
-                Effect::Expected(revision) => self.parts.hub.set_expected(revision),
-                Effect::View(view) => self.parts.hub.set_view(view),
+                Effect::Expected(revision) => self.parts.proxy.set_expected_revision(revision),
+                Effect::View(view) => self.parts.proxy.set_view(view),
                 Effect::Tell(targets, digest) => self.tell(&targets, &digest),
                 Effect::Quarantine(quarantine) => {
                     self.parts.meter.quarantined(quarantine.until.len() as u64);
-                    self.parts.hub.set_quarantine(quarantine);
+                    self.parts.proxy.set_quarantine(quarantine);
                 }
-                Effect::Open => self.parts.hub.set_open(true),
-                Effect::Drain => self.parts.hub.leave(),
+                Effect::Open => self.parts.proxy.set_ready(true),
+                Effect::Drain => self.parts.proxy.leave(),
             }
         }
         self.log();
@@ -337,7 +337,7 @@
     }
 
     fn collect(&mut self) {
-        for kind in self.parts.hub.collect() {
+        for kind in self.parts.proxy.collect_events() {
             self.apply(Event::Note(kind), None);
         }
         self.parts.meter.control_cpu(crate::process::control_seconds());
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -37,7 +37,7 @@
 };
 use telemetry::metric;
 use tokio::runtime::{Builder, Runtime};
-use traffic::{Clock, Door, Hub, Listener, Tuning};
+use traffic::{Clock, Door, Listener, Proxy, Tuning};
 
 use crate::{
     control::Link,
@@ -89,7 +89,7 @@
 
 /// A running node.
 pub struct Node {
-    hub: Arc<Hub>,
+    proxy: Arc<Proxy>,
     link: Link,
     settings: Settings,
     _peers: Runtime,
@@ -112,7 +112,7 @@
         let clock = Clock::default();
         let meter = Arc::new(metric::Meter::new().context(MetricsSnafu)?);
         let incarnation = wall_ms();
-        let hub = Hub::new(hub_settings(settings, incarnation), clock, meter.clone());
+        let proxy = Proxy::new(proxy_settings(settings, incarnation), clock, meter.clone());
         let traffic = Builder::new_multi_thread()
             .worker_threads(settings.traffic_threads)
             .thread_name("traffic")
@@ -131,7 +131,7 @@
         let parts = control::Parts {
             own,
             source,
-            hub: hub.clone(),
+            proxy: proxy.clone(),
             clock,
             meter: meter.clone(),
             peers: peers.handle().clone(),
@@ -142,12 +142,12 @@
         let (_, handle) = served.context(PeersSnafu)?;
         // The server lives as long as its runtime.
         peers.spawn(handle.stopped());
-        operators::start(settings, link.clone(), hub.clone(), meter, peers.handle().clone())?;
-        start_pulse(hub.clone(), link.clone()).context(ThreadSnafu)?;
+        operators::start(settings, link.clone(), proxy.clone(), meter, peers.handle().clone())?;
+        start_pulse(proxy.clone(), link.clone()).context(ThreadSnafu)?;
         for listener in listeners {
-            traffic.spawn(listener.serve(hub.clone()));
+            traffic.spawn(listener.serve(proxy.clone()));
         }
-        Ok(Node { hub, link, settings: settings.clone(), _peers: peers, _traffic: traffic })
+        Ok(Node { proxy, link, settings: settings.clone(), _peers: peers, _traffic: traffic })
     }
 
     /// Works under new settings as far as they can change while the process runs; the time line
@@ -160,7 +160,7 @@
         reloaded.cold_excess = new.cold_excess;
         reloaded.stop = new.stop;
         let needs_restart = reloaded != *new;
-        self.hub.set_tuning(tuning(&reloaded));
+        self.proxy.set_tuning(tuning(&reloaded));
         self.settings = reloaded;
         self.link.send(Event::Note(Kind::Reloaded { needs_restart }));
     }
@@ -199,16 +199,16 @@
 
 fn tuning(settings: &Settings) -> Tuning {
     Tuning {
-        room: settings.room,
-        connect: settings.connect,
+        capacity: settings.room,
+        connect_timeout: settings.connect,
         budget: settings.budget,
         cold_excess: settings.cold_excess,
     }
 }
 
-fn hub_settings(settings: &Settings, incarnation: u64) -> traffic::Settings {
+fn proxy_settings(settings: &Settings, incarnation: u64) -> traffic::Settings {
     traffic::Settings {
-        own: settings.listen.peers,
+        address: settings.listen.peers,
         incarnation: match settings.discovery {
             Discovery::Gossip => Some(incarnation),
             // Upstreams are named by identities of their own.
@@ -217,9 +217,9 @@
         service: settings.service.clone(),
         upstream: settings.upstream.address,
         slots: settings.upstream.slots,
-        offset: rand::random(),
+        split_offset: rand::random(),
         tuning: tuning(settings),
-        connections: settings.connections,
+        max_connections: settings.connections,
         pause: policy::pause::Settings::default(),
         instance: settings.instance.clone(),
         log: settings.log,
@@ -228,10 +228,10 @@
     }
 }
 
-fn start_pulse(hub: Arc<Hub>, link: Link) -> io::Result<()> {
+fn start_pulse(proxy: Arc<Proxy>, link: Link) -> io::Result<()> {
     let pulse = move || {
         while link.is_open() {
-            if let Some(pause) = hub.beat() {
+            if let Some(pause) = proxy.tick_pause_detector() {
                 link.send(Event::Woke(pause));
             }
             thread::sleep(PULSE);
--- a/crates/node/src/operators.rs
+++ b/crates/node/src/operators.rs
@@ -15,7 +15,7 @@
 use telemetry::metric::Meter;
 use tiny_http::{Header, Response, Server};
 use tokio::{runtime::Handle, task::JoinSet};
-use traffic::Hub;
+use traffic::Proxy;
 
 use crate::{Error, control::Link, settings::Settings};
 
@@ -28,7 +28,7 @@
 /// What the page needs.
 struct Page {
     link: Link,
-    hub: Arc<Hub>,
+    proxy: Arc<Proxy>,
     meter: Arc<Meter>,
     peers: Handle,
 }
@@ -37,14 +37,14 @@
 pub(crate) fn start(
     settings: &Settings,
     link: Link,
-    hub: Arc<Hub>,
+    proxy: Arc<Proxy>,
     meter: Arc<Meter>,
     peers: Handle,
 ) -> Result<(), Error> {
     let address = settings.listen.operators;
     let failure = |reason: String| Error::Operators { address, reason };
     let server = Server::http(address).map_err(|e| failure(e.to_string()))?;
-    let page = Page { link, hub, meter, peers };
+    let page = Page { link, proxy, meter, peers };
     let work = move || {
         for request in server.incoming_requests() {
             let response = page.answer(request.url());
@@ -141,14 +141,14 @@
     }
 
     fn explain(&self, service: &str) -> Explanation {
-        let config = self.hub.config();
+        let config = self.proxy.config();
         let profile = config.service(service).map(|s| config.profile(s));
         Explanation {
             service: service.to_owned(),
             known: profile.is_some(),
             revision: config.version.revision,
             profile: profile.cloned(),
-            upstreams: self.hub.explain(service),
+            upstreams: self.proxy.explain(service),
         }
     }
 }
--- a/crates/node/src/stop.rs
+++ b/crates/node/src/stop.rs
@@ -27,11 +27,11 @@
     pub fn stop(self) {
         let signalled = Instant::now();
         self.tell("begun", signalled);
-        self.hub.set_open(false);
+        self.proxy.set_ready(false);
         // Callers find out by asking, so they still come for a while; until they have left, this
         // node and its upstream are of use to everybody.
         thread::sleep(self.settings.stop.linger);
-        self.hub.leave();
+        self.proxy.leave();
         self.link.send(Event::Leave);
         self.drain();
         self.tell("ended", signalled);
@@ -47,7 +47,7 @@
         let mut busy = begun;
         let mut closed: Option<Instant> = None;
         loop {
-            if self.hub.in_hand() > 0 {
+            if self.proxy.calls_in_flight() > 0 {
                 busy = Instant::now();
             }
             let progress = Progress {
@@ -58,7 +58,7 @@
             match drain::next(plan, progress) {
                 Step::Wait => thread::sleep(POLL),
                 Step::Close => {
-                    self.hub.close();
+                    self.proxy.close();
                     closed = Some(Instant::now());
                 }
                 Step::End => return,
@@ -68,7 +68,7 @@
 
     fn plan(&self) -> Plan {
         let left = self.settings.stop.limit.saturating_sub(self.settings.stop.linger);
-        let limit = self.hub.drain_limit().max(LEAVE_LEAST).min(left);
+        let limit = self.proxy.drain_limit().max(LEAVE_LEAST).min(left);
         Plan { close: limit.saturating_sub(self.settings.stop.finish), limit }
     }
 
@@ -80,7 +80,7 @@
             "event": "stop",
             "step": step,
             "ms": signalled.elapsed().as_millis() as u64,
-            "in_hand": self.hub.in_hand(),
+            "in_hand": self.proxy.calls_in_flight(),
         }));
     }
 }
--- a/crates/traffic/src/gate.rs
+++ b/crates/traffic/src/admission.rs
@@ -3,5 +3,5 @@
 //! Nothing here knows a call; tasks wait, hold and give back.
 
 pub(crate) mod running;
+pub(crate) mod semaphore;
 pub(crate) mod transfer;
-pub(crate) mod turnstile;
--- a/crates/traffic/src/gate/running.rs
+++ b/crates/traffic/src/admission/running.rs
@@ -18,7 +18,7 @@
 
 /// Requests that the upstream works on, by their ids.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Running {
+pub(crate) struct Registry {
     ids: Arc<Mutex<HashMap<String, Run>>>,
 }
 
@@ -32,17 +32,17 @@
 
 /// A request that the upstream works on, until this is dropped.
 #[derive(Debug)]
-pub(crate) struct Entry {
-    running: Running,
+pub(crate) struct Guard {
+    running: Registry,
     id: String,
 }
 
-impl Running {
+impl Registry {
     /// Notes that the upstream begins to work on `id`, which was let in under `rank`.
-    pub(crate) fn begin(&self, id: &str, rank: Rank) -> Entry {
+    pub(crate) fn begin(&self, id: &str, rank: Rank) -> Guard {
         let run = Run { count: 0, work: Work { rank, answered: 0 } };
         self.lock().entry(id.to_owned()).or_insert(run).count += 1;
-        Entry { running: self.clone(), id: id.to_owned() }
+        Guard { running: self.clone(), id: id.to_owned() }
     }
 
     /// Returns the work that the call `id` is made for, if the upstream works on it.
@@ -64,7 +64,7 @@
     }
 }
 
-impl Drop for Entry {
+impl Drop for Guard {
     fn drop(&mut self) {
         let mut ids = self.running.lock();
         let left = ids.get_mut(&self.id).map(|run| {
--- a/crates/traffic/src/gate/running/tests.rs
+++ b/crates/traffic/src/admission/running/tests.rs
@@ -2,10 +2,10 @@
 
 use policy::admission::Rank;
 
-use super::Running;
+use super::Registry;
 
 #[track_caller]
-fn check(running: &Running, id: &str, expect: bool) {
+fn check(running: &Registry, id: &str, expect: bool) {
     assert_eq!(running.parent_of(id).is_some(), expect, "{id}");
 }
 
@@ -13,7 +13,7 @@
 /// both come from the same address; under load nobody is served in time.
 #[test]
 fn only_calls_made_for_running_work_are_the_upstream_s_own() {
-    let running = Running::default();
+    let running = Registry::default();
     check(&running, "9c41.77", false);
     let entry = running.begin("9c41", Rank::default());
     check(&running, "9c41.77", true);
@@ -26,7 +26,7 @@
 
 #[test]
 fn work_that_runs_twice_ends_twice() {
-    let running = Running::default();
+    let running = Registry::default();
     let begin = || running.begin("9c41", Rank::default());
     let (first, second) = (begin(), begin());
     drop(first);
@@ -38,7 +38,7 @@
 /// The second check of a lookup is refused like any first one, and the first was made in vain.
 #[test]
 fn work_knows_how_far_it_is() {
-    let running = Running::default();
+    let running = Registry::default();
     let rank = Rank { priority: 9, ..Rank::default() };
     let _entry = running.begin("9c41", rank);
     running.answered("9c41.77");
--- a/crates/traffic/src/gate/turnstile.rs
+++ b/crates/traffic/src/admission/semaphore.rs
@@ -21,14 +21,14 @@
 
 /// Longest time between two looks of a task that waits: a limit that begins or ends meanwhile has no
 /// event of its own.
-const LOOK_AGAIN: Duration = Duration::from_millis(250);
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Least time between two looks; timers are no finer.
-const LOOK_LEAST: Duration = Duration::from_millis(1);
+const MIN_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
 /// Slots, and the tasks that wait for one.
 #[derive(Debug)]
-pub(crate) struct Turnstile {
+pub(crate) struct Semaphore {
     clock: Clock,
     tickets: AtomicU64,
     queue: Mutex<Queue>,
@@ -47,13 +47,13 @@
     /// A slot is taken for it.
     Granted,
     /// Its work must not be done here.
-    TurnedAway,
+    Rejected,
 }
 
 /// A held slot, freed when dropped, also when the task is cancelled.
 #[derive(Debug)]
-pub(crate) struct Pass {
-    turnstile: Arc<Turnstile>,
+pub(crate) struct Permit {
+    semaphore: Arc<Semaphore>,
     ticket: Ticket,
     /// How long the work took, if it was done.
     pub(crate) service_time: Option<Duration>,
@@ -71,39 +71,39 @@
     }
 }
 
-impl Turnstile {
+impl Semaphore {
     pub(crate) fn new(clock: Clock, slots: usize) -> Arc<Self> {
         let queue = Queue { gate: Gate::new(slots), waiters: HashMap::new() };
-        Arc::new(Turnstile { clock, tickets: AtomicU64::new(0), queue: Mutex::new(queue) })
+        Arc::new(Semaphore { clock, tickets: AtomicU64::new(0), queue: Mutex::new(queue) })
     }
 
     /// Waits for a slot no longer than `rank` and `deadline` allow.
-    pub(crate) async fn enter(
+    pub(crate) async fn acquire(
         self: &Arc<Self>,
         rank: Rank,
         deadline: Time,
         queue_limit: usize,
-    ) -> Result<Pass, Outcome> {
+    ) -> Result<Permit, Outcome> {
         let ticket = Ticket(self.tickets.fetch_add(1, Ordering::Relaxed));
-        let (entry, verdict) = self.arrive(ticket, rank, deadline, queue_limit);
+        let (entry, verdict) = self.enqueue(ticket, rank, deadline, queue_limit);
         let until = match entry {
-            Entry::Run => return Ok(self.pass(ticket)),
+            Entry::Run => return Ok(self.permit(ticket)),
             Entry::Refuse(after) => return Err(Outcome::NotRun(Cause::Overloaded, after)),
             Entry::Wait(until) => until,
         };
-        let mut place = Place { turnstile: self.clone(), ticket, verdict, ended: false };
+        let mut waiter = Waiter { semaphore: self.clone(), ticket, verdict, resolved: false };
         loop {
             let now = self.clock.now();
-            let look = self.next_look(now).min(until);
-            match timeout(look.since(now), &mut place.verdict).await {
+            let poll_at = self.next_poll(now).min(until);
+            match timeout(poll_at.since(now), &mut waiter.verdict).await {
                 Ok(Ok(verdict)) => {
-                    place.ended = true;
+                    waiter.resolved = true;
                     return match verdict {
-                        Verdict::Granted => Ok(self.pass(ticket)),
-                        Verdict::TurnedAway => Err(Cause::Evacuated.outcome()),
+                        Verdict::Granted => Ok(self.permit(ticket)),
+                        Verdict::Rejected => Err(Cause::Evacuated.outcome()),
                     };
                 }
-                Err(_) if self.clock.now() < until => self.release(),
+                Err(_) if self.clock.now() < until => self.grant_ready(),
                 _ if until < deadline => return Err(Cause::Overloaded.outcome()),
                 _ => return Err(of_loss(Step::Queue, Loss::Silent)),
             }
@@ -120,25 +120,27 @@
     }
 
     /// Returns when a task that waits looks whether somebody gets a token that no finished call passes on.
-    fn next_look(&self, now: Time) -> Time {
+    fn next_poll(&self, now: Time) -> Time {
         let token = self.lock().gate.next_token(now);
-        token.map_or(now + LOOK_AGAIN, |at| at.max(now + LOOK_LEAST).min(now + LOOK_AGAIN))
+        token.map_or(now + POLL_INTERVAL, |at| {
+            at.max(now + MIN_POLL_INTERVAL).min(now + POLL_INTERVAL)
+        })
     }
 
     /// Wakes the tasks for which there are slots and tokens.
-    fn release(&self) {
+    fn grant_ready(&self) {
         let mut queue = self.lock();
         let granted = queue.gate.release(self.clock.now());
         queue.wake(&granted);
     }
 
     /// Refuses every task that waits: its work must not be done here.
-    pub(crate) fn turn_away(&self) {
+    pub(crate) fn reject_waiting(&self) {
         let mut queue = self.lock();
         for (ticket, waiter) in std::mem::take(&mut queue.waiters) {
             queue.gate.cancel(ticket);
             // A waiting task removes itself under this lock before it drops its receiver.
-            let _ = waiter.send(Verdict::TurnedAway);
+            let _ = waiter.send(Verdict::Rejected);
         }
     }
 
@@ -163,13 +165,13 @@
         queue.wake(&granted);
     }
 
-    fn pass(self: &Arc<Self>, ticket: Ticket) -> Pass {
-        Pass { turnstile: self.clone(), ticket, service_time: None }
+    fn permit(self: &Arc<Self>, ticket: Ticket) -> Permit {
+        Permit { semaphore: self.clone(), ticket, service_time: None }
     }
 
     /// The waiter is registered under the same lock as the decision to wait, so that a slot that
     /// is freed in between cannot miss it.
-    fn arrive(
+    fn enqueue(
         &self,
         ticket: Ticket,
         rank: Rank,
@@ -216,29 +218,29 @@
     }
 }
 
-impl Drop for Pass {
+impl Drop for Permit {
     fn drop(&mut self) {
-        self.turnstile.finish(self.ticket, self.service_time);
+        self.semaphore.finish(self.ticket, self.service_time);
     }
 }
 
 /// A place in the queue, given up when dropped before a slot was taken.
-struct Place {
-    turnstile: Arc<Turnstile>,
+struct Waiter {
+    semaphore: Arc<Semaphore>,
     ticket: Ticket,
     verdict: oneshot::Receiver<Verdict>,
     /// Whether the verdict was taken.
-    ended: bool,
+    resolved: bool,
 }
 
-impl Drop for Place {
+impl Drop for Waiter {
     fn drop(&mut self) {
-        if self.ended || self.turnstile.cancel(self.ticket) {
+        if self.resolved || self.semaphore.cancel(self.ticket) {
             return;
         }
         if self.verdict.try_recv() == Ok(Verdict::Granted) {
             // The slot was granted in the moment in which the task gave up.
-            self.turnstile.finish(self.ticket, None);
+            self.semaphore.finish(self.ticket, None);
         }
     }
 }
--- a/crates/traffic/src/gate/turnstile/tests.rs
+++ b/crates/traffic/src/admission/semaphore/tests.rs
@@ -17,24 +17,24 @@
     let runtime = Builder::new_current_thread().enable_all().build().expect("a runtime starts");
     runtime.block_on(async {
         let clock = Clock::default();
-        let turnstile = Turnstile::new(clock, 1);
+        let semaphore = Semaphore::new(clock, 1);
         let enter = || {
-            let (turnstile, deadline) = (turnstile.clone(), in_a_second(clock));
-            async move { turnstile.enter(Rank::default(), deadline, QUEUE).await }
+            let (semaphore, deadline) = (semaphore.clone(), in_a_second(clock));
+            async move { semaphore.acquire(Rank::default(), deadline, QUEUE).await }
         };
         let holder = enter().await.expect("the slot is free");
         let waiting = [tokio::spawn(enter()), tokio::spawn(enter())];
-        while turnstile.load().waiting < waiting.len() {
+        while semaphore.load().waiting < waiting.len() {
             yield_now().await;
         }
-        turnstile.turn_away();
+        semaphore.reject_waiting();
         for task in waiting {
             let outcome = task.await.expect("it ends").expect_err("it is turned away");
             assert!(matches!(outcome, Outcome::NotRun(Cause::Evacuated, _)), "{outcome:?}");
         }
-        assert_eq!((turnstile.load().busy, turnstile.load().waiting), (1, 0));
+        assert_eq!((semaphore.load().busy, semaphore.load().waiting), (1, 0));
         drop(holder);
-        assert_eq!(turnstile.load().busy, 0);
+        assert_eq!(semaphore.load().busy, 0);
         enter().await.expect("the slot is free again");
     });
 }
@@ -45,12 +45,15 @@
     let runtime = Builder::new_current_thread().enable_all().build().expect("a runtime starts");
     runtime.block_on(async {
         let clock = Clock::default();
-        let turnstile = Turnstile::new(clock, 4);
+        let semaphore = Semaphore::new(clock, 4);
         let limit = Limit { rate: 50.0, burst: 1.0, until: clock.now() + Duration::from_secs(60) };
-        turnstile.set_warm_up(Some(limit), clock.now());
+        semaphore.set_warm_up(Some(limit), clock.now());
         for _ in 0..3 {
             let deadline = clock.now() + Duration::from_secs(30);
-            turnstile.enter(Rank::default(), deadline, QUEUE).await.expect("a token comes in time");
+            semaphore
+                .acquire(Rank::default(), deadline, QUEUE)
+                .await
+                .expect("a token comes in time");
         }
     });
 }
--- a/crates/traffic/src/gate/transfer.rs
+++ b/crates/traffic/src/admission/transfer.rs
@@ -15,8 +15,8 @@
 };
 
 use crate::{
+    admission::semaphore::{Permit, Semaphore},
     clock::Clock,
-    gate::turnstile::{Pass, Turnstile},
     lock::lock,
 };
 
@@ -24,28 +24,28 @@
 const QUEUE_LIMIT: usize = 16;
 
 /// How long a turn is kept for an entry node that does not come.
-const KEPT: Duration = Duration::from_secs(2);
+const GRANT_TTL: Duration = Duration::from_secs(2);
 
 /// Turns given, and who waits for one.
 #[derive(Debug)]
 pub(crate) struct Transfers {
     clock: Clock,
-    turnstile: Arc<Turnstile>,
-    granted: Mutex<HashMap<u64, Turn>>,
+    semaphore: Arc<Semaphore>,
+    grants: Mutex<HashMap<u64, Grant>>,
 }
 
 /// A turn that was given.
 #[derive(Debug)]
-pub(crate) struct Turn {
-    pass: Pass,
-    given: Time,
+pub(crate) struct Grant {
+    permit: Permit,
+    granted_at: Time,
 }
 
 impl Transfers {
     /// Creates turns for a link of `link_mbps`; 0 stands for a fast one.
     pub(crate) fn new(clock: Clock, link_mbps: u32) -> Self {
-        let turnstile = Turnstile::new(clock, transfer::lanes(link_mbps));
-        Transfers { clock, turnstile, granted: Mutex::default() }
+        let semaphore = Semaphore::new(clock, transfer::lanes(link_mbps));
+        Transfers { clock, semaphore, grants: Mutex::default() }
     }
 
     /// Waits for a turn and keeps it under the number `ticket`.
@@ -55,14 +55,14 @@
         rank: Rank,
         deadline: Time,
     ) -> Result<(), Outcome> {
-        let pass = self.turnstile.enter(rank, deadline, QUEUE_LIMIT).await?;
-        let given = self.clock.now();
-        self.lock().insert(ticket, Turn { pass, given });
+        let permit = self.semaphore.acquire(rank, deadline, QUEUE_LIMIT).await?;
+        let granted_at = self.clock.now();
+        self.lock().insert(ticket, Grant { permit, granted_at });
         Ok(())
     }
 
     /// Takes the turn of `ticket`; none where it was kept for too long.
-    pub(crate) fn redeem(&self, ticket: u64) -> Option<Turn> {
+    pub(crate) fn redeem(&self, ticket: u64) -> Option<Grant> {
         self.lock().remove(&ticket)
     }
 
@@ -70,22 +70,22 @@
     ///
     /// The time that it took is what the next ones are told to expect: without it, those that would
     /// have to wait for too long are not turned away before they have waited.
-    pub(crate) fn finish(&self, mut turn: Turn) {
-        turn.pass.service_time = Some(self.clock.now().since(turn.given));
+    pub(crate) fn finish(&self, mut grant: Grant) {
+        grant.permit.service_time = Some(self.clock.now().since(grant.granted_at));
     }
 
     /// Returns how many bodies cross or wait for their turn.
     pub(crate) fn pending(&self) -> usize {
-        let load = self.turnstile.load();
+        let load = self.semaphore.load();
         load.busy + load.waiting
     }
 
     /// Gives up turns that nobody came for.
-    pub(crate) fn sweep(&self, now: Time) {
-        self.lock().retain(|_, turn| turn.given + KEPT > now);
+    pub(crate) fn remove_expired(&self, now: Time) {
+        self.lock().retain(|_, grant| grant.granted_at + GRANT_TTL > now);
     }
 
-    fn lock(&self) -> MutexGuard<'_, HashMap<u64, Turn>> {
-        lock(&self.granted)
+    fn lock(&self) -> MutexGuard<'_, HashMap<u64, Grant>> {
+        lock(&self.grants)
     }
 }
--- a/crates/traffic/src/call.rs
+++ b/crates/traffic/src/call.rs
@@ -11,14 +11,14 @@
 use std::sync::{Arc, OnceLock};
 use xxhash_rust::xxh3::Xxh3;
 
-use crate::{net::stream::Probe, record::Trail, wire};
+use crate::{net::stream::Probe, record::Trace, wire};
 
 /// Longest text by which operators tell a request, in characters.
-const LABEL_MOST: usize = 160;
+const MAX_LABEL_CHARS: usize = 160;
 
 /// What holds for a call by its route, or by its service's profile.
 #[derive(Clone, Debug)]
-pub(crate) struct Terms {
+pub(crate) struct Options {
     /// Whether it may run more than once.
     pub(crate) kind: Kind,
     /// Longest time until the final answer, in ms.
@@ -37,22 +37,22 @@
 pub(crate) struct Call<'a> {
     pub(crate) service: &'a str,
     pub(crate) profile: &'a Profile,
-    pub(crate) terms: Terms,
+    pub(crate) options: Options,
     pub(crate) payload: Payload,
     pub(crate) received: Time,
     pub(crate) deadline: Time,
     /// When an answer becomes late, if its route names an objective.
     pub(crate) due: Option<Time>,
     /// By when its body must begin to cross if it is large, if its route names an objective.
-    pub(crate) turn_by: Option<Time>,
+    pub(crate) transfer_by: Option<Time>,
     pub(crate) rank: Rank,
     pub(crate) origin: Probe,
-    pub(crate) trail: &'a Trail,
+    pub(crate) trace: &'a Trace,
 }
 
 impl Call<'_> {
     pub(crate) fn kind(&self) -> Kind {
-        self.terms.kind
+        self.options.kind
     }
 }
 
@@ -66,7 +66,7 @@
     pub(crate) kind: Kind,
     /// Its urgency.
     pub(crate) rank: Rank,
-    /// Life of the node that it is meant for.
+    /// Incarnation of the node that it is meant for.
     pub(crate) incarnation: u64,
     /// Identity that the upstream must confirm, if it was listed with one.
     pub(crate) identity: Option<Arc<str>>,
@@ -103,12 +103,12 @@
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
     /// What it asks for, once that was worked out.
-    asked: OnceLock<Fingerprint>,
+    fingerprint: OnceLock<Fingerprint>,
 }
 
 impl Payload {
     pub(crate) fn new(method: Method, path: Uri, headers: HeaderMap, body: Bytes) -> Self {
-        Payload { method, path, headers, body, asked: OnceLock::new() }
+        Payload { method, path, headers, body, fingerprint: OnceLock::new() }
     }
 
     /// Returns a request to send on.
@@ -124,10 +124,10 @@
     /// the service that it comes from and how its body was sent do not count. `service` is the one that is
     /// named where there are no routes; the host is then any node's. A large body is gone through once only.
     pub(crate) fn fingerprint(&self, service: Option<&str>) -> Fingerprint {
-        *self.asked.get_or_init(|| self.work_out(service))
+        *self.fingerprint.get_or_init(|| self.compute_fingerprint(service))
     }
 
-    fn work_out(&self, service: Option<&str>) -> Fingerprint {
+    fn compute_fingerprint(&self, service: Option<&str>) -> Fingerprint {
         let mut hash = Xxh3::new();
         let mut add = |part: &[u8]| {
             hash.update(&(part.len() as u64).to_le_bytes());
@@ -148,7 +148,7 @@
     /// Returns what operators read of the request.
     pub(crate) fn label(&self) -> String {
         let text = format!("{} {}{}", self.method, wire::host(&self.headers), self.target());
-        text.chars().take(LABEL_MOST).collect()
+        text.chars().take(MAX_LABEL_CHARS).collect()
     }
 
     fn target(&self) -> &str {
--- a/crates/traffic/src/entry.rs
+++ b/crates/traffic/src/entry.rs
@@ -19,27 +19,27 @@
         choice::{choose, choose_again},
         repeat::{next_step, note_call, patience},
     },
-    hub::Hub,
-    net::stream::Look,
-    record::tally::Count,
+    net::stream::SocketState,
+    proxy::Proxy,
+    record::events::Event,
 };
 
 /// Offers the call to one upstream after the other until one answers or nothing more may be tried.
-pub(crate) async fn run(hub: &Arc<Hub>, call: &Call<'_>) -> Result<Answer, Outcome> {
-    note_call(hub, call);
+pub(crate) async fn run(proxy: &Arc<Proxy>, call: &Call<'_>) -> Result<Answer, Outcome> {
+    note_call(proxy, call);
     let mut tried: Vec<Upstream> = Vec::new();
     let mut arrivals = 0;
-    let mut last = without_upstream(hub, call.service).outcome();
+    let mut last = without_upstream(proxy, call.service).outcome();
     loop {
-        if let Some(outcome) = lost_meanwhile(hub, call) {
+        if let Some(outcome) = lost_meanwhile(proxy, call) {
             return Err(if tried.is_empty() { outcome } else { outcome.after(last) });
         }
-        let chosen = choose(hub, call, &tried).or_else(|| choose_again(hub, call, last));
+        let chosen = choose(proxy, call, &tried).or_else(|| choose_again(proxy, call, last));
         let Some(upstream) = chosen else { return Err(last) };
         tried.push(upstream.clone());
-        let result = match hub.tuning().budget {
-            Some(_) => hedge::run(hub, call, &upstream, &mut tried, &mut arrivals).await,
-            None => attempt::run(hub, call, &upstream, patience(hub, call, tried.len())).await,
+        let result = match proxy.tuning().budget {
+            Some(_) => hedge::run(proxy, call, &upstream, &mut tried, &mut arrivals).await,
+            None => attempt::run(proxy, call, &upstream, patience(proxy, call, tried.len())).await,
         };
         let outcome = match result {
             Ok(answer) => return Ok(answer),
@@ -48,17 +48,17 @@
         let address = upstream.address;
         arrivals += u32::from(retry::is_arrival(outcome));
         last = outcome.after(last);
-        if next_step(hub, call, outcome, tried.len(), arrivals) == retry::Step::GiveUp {
+        if next_step(proxy, call, outcome, tried.len(), arrivals) == retry::Step::GiveUp {
             return Err(last);
         }
-        hub.meter.retry(call.service);
-        hub.tally.add(Count::Retried(call.service.to_owned(), address, outcome.reason()));
+        proxy.meter.retry(call.service);
+        proxy.events.add(Event::Retried(call.service.to_owned(), address, outcome.reason()));
     }
 }
 
 /// Returns why a call to `service` finds no upstream, if it finds none.
-fn without_upstream(hub: &Hub, service: &str) -> Cause {
-    let view = hub.view();
+fn without_upstream(proxy: &Proxy, service: &str) -> Cause {
+    let view = proxy.view();
     let is_evacuated = |upstream: &Upstream| upstream.state == State::Evacuated;
     match view.upstreams(service).iter().any(is_evacuated) {
         true => Cause::Evacuated,
@@ -68,21 +68,21 @@
 
 /// Returns why no further attempt may be made, if time is over, the caller has gone, or upstreams end under
 /// such calls.
-fn lost_meanwhile(hub: &Hub, call: &Call<'_>) -> Option<Outcome> {
-    let now = hub.clock.now();
+fn lost_meanwhile(proxy: &Proxy, call: &Call<'_>) -> Option<Outcome> {
+    let now = proxy.clock.now();
     let moment = retry::Moment {
         now,
         deadline: call.deadline,
-        paused: hub.in_doubt(call.received, now),
-        wanted: call.origin.look() != Look::Closed,
+        paused: proxy.may_be_stale(call.received, now),
+        wanted: call.origin.socket_state() != SocketState::Closed,
     };
-    retry::hindrance(moment).map(Cause::outcome).or_else(|| quarantined(hub, call))
+    retry::hindrance(moment).map(Cause::outcome).or_else(|| quarantined(proxy, call))
 }
 
 /// Returns the outcome of a call that must not run, since upstreams ended under such calls, and notes which.
-fn quarantined(hub: &Hub, call: &Call<'_>) -> Option<Outcome> {
-    let outcome = hub.quarantined(&call.payload, call.service)?;
-    let request = hub.fingerprint(&call.payload, call.service).to_string();
-    call.trail.note(&hub.log, Step::Quarantined { request });
+fn quarantined(proxy: &Proxy, call: &Call<'_>) -> Option<Outcome> {
+    let outcome = proxy.quarantined(&call.payload, call.service)?;
+    let request = proxy.fingerprint(&call.payload, call.service).to_string();
+    call.trace.note(&proxy.log, Step::Quarantined { request });
     Some(outcome)
 }
--- a/crates/traffic/src/entry/attempt.rs
+++ b/crates/traffic/src/entry/attempt.rs
@@ -10,29 +10,29 @@
 
 use crate::{
     call::{Answer, Call},
-    hub::Hub,
-    link::offer,
-    record::tally::Count,
+    forward::sender,
+    proxy::Proxy,
+    record::events::Event,
     wire,
 };
 
 /// Makes one attempt and notes what it shows about the upstream.
 pub(super) async fn run(
-    hub: &Arc<Hub>,
+    proxy: &Arc<Proxy>,
     call: &Call<'_>,
     upstream: &Upstream,
     patience: Time,
 ) -> Result<Answer, Outcome> {
-    let begun = hub.clock.now();
-    let id = hub.next_id();
-    note_offer(hub, call, upstream, id, begun);
-    let mut watch = Watch::new(hub, call.service, upstream, begun);
+    let begun = proxy.clock.now();
+    let id = proxy.next_id();
+    note_offer(proxy, call, upstream, id, begun);
+    let mut watch = Watch::new(proxy, call.service, upstream, begun);
     let remaining = call.deadline.since(begun);
-    let result = offer::attempt(hub, call, upstream, id, patience).await;
-    let elapsed = hub.clock.now().since(begun);
-    note_end(hub, call, id, &result, elapsed);
+    let result = sender::attempt(proxy, call, upstream, id, patience).await;
+    let elapsed = proxy.clock.now().since(begun);
+    note_end(proxy, call, id, &result, elapsed);
     if result.is_ok() && elapsed > remaining / 2 {
-        hub.tally.add(Count::Slow(call.service.to_owned(), upstream.address));
+        proxy.events.add(Event::Slow(call.service.to_owned(), upstream.address));
     }
     let sample = match &result {
         Ok(answer) if answer.head.status().is_server_error() => Sample::Erred(elapsed),
@@ -42,9 +42,9 @@
     watch.end(sample);
     match (&result, sample) {
         (Ok(answer), Sample::Answered(time)) => {
-            note_answered(hub, call, upstream, time, answer.body.len());
+            note_answered(proxy, call, upstream, time, answer.body.len());
         }
-        (_, Sample::Silent(time)) => note_silent(hub, call, upstream, time),
+        (_, Sample::Silent(time)) => note_silent(proxy, call, upstream, time),
         // A failure may come sooner or later than an answer; its time tells nothing.
         _ => {}
     }
@@ -52,34 +52,40 @@
 }
 
 /// Notes an answer of `bytes` after `time`, and how that compares with other calls of the route.
-fn note_answered(hub: &Hub, call: &Call<'_>, upstream: &Upstream, time: Duration, bytes: usize) {
-    let before = hub.estimates.note(call.service, &call.terms.route, time, bytes);
-    compare(hub, call, upstream, before.map_or(1.0, |latency| latency.ratio(time)));
+fn note_answered(
+    proxy: &Proxy,
+    call: &Call<'_>,
+    upstream: &Upstream,
+    time: Duration,
+    bytes: usize,
+) {
+    let before = proxy.estimates.record(call.service, &call.options.route, time, bytes);
+    compare(proxy, call, upstream, before.map_or(1.0, |latency| latency.ratio(time)));
 }
 
 /// Notes that there was no answer within `time`, and how that compares with other calls.
-fn note_silent(hub: &Hub, call: &Call<'_>, upstream: &Upstream, time: Duration) {
-    let latency = hub.estimates.latency(call.service, &call.terms.route);
+fn note_silent(proxy: &Proxy, call: &Call<'_>, upstream: &Upstream, time: Duration) {
+    let latency = proxy.estimates.latency(call.service, &call.options.route);
     let ratio = latency.map_or(1.0, |latency| latency.ratio(time));
-    compare(hub, call, upstream, ratio.max(1.0));
+    compare(proxy, call, upstream, ratio.max(1.0));
 }
 
 /// Notes that a call took `ratio` times as long as those of its route usually do.
-fn compare(hub: &Hub, call: &Call<'_>, upstream: &Upstream, ratio: f64) {
-    let now = hub.clock.now();
-    hub.services.with(call.service, |s| s.record(upstream, now).compare(ratio, now));
+fn compare(proxy: &Proxy, call: &Call<'_>, upstream: &Upstream, ratio: f64) {
+    let now = proxy.clock.now();
+    proxy.services.with(call.service, |s| s.record(upstream, now).compare(ratio, now));
 }
 
 /// Notes that a call to `first` was answered by another upstream after `waited`.
-pub(super) fn note_overtaken(hub: &Hub, call: &Call<'_>, first: &Upstream, waited: Duration) {
-    let now = hub.clock.now();
-    hub.services.with(call.service, |s| s.record(first, now).overtaken(waited, now));
-    note_silent(hub, call, first, waited);
+pub(super) fn note_overtaken(proxy: &Proxy, call: &Call<'_>, first: &Upstream, waited: Duration) {
+    let now = proxy.clock.now();
+    proxy.services.with(call.service, |s| s.record(first, now).overtaken(waited, now));
+    note_silent(proxy, call, first, waited);
 }
 
-fn note_offer(hub: &Hub, call: &Call<'_>, upstream: &Upstream, attempt: u64, now: Time) {
-    let candidates = hub.view().upstreams(call.service).len();
-    let step = hub.services.with(call.service, |service| {
+fn note_offer(proxy: &Proxy, call: &Call<'_>, upstream: &Upstream, attempt: u64, now: Time) {
+    let candidates = proxy.view().upstreams(call.service).len();
+    let step = proxy.services.with(call.service, |service| {
         let record = service.record(upstream, now);
         trail::Step::Offered {
             attempt,
@@ -92,11 +98,11 @@
             candidates,
         }
     });
-    call.trail.note(&hub.log, step);
+    call.trace.note(&proxy.log, step);
 }
 
 fn note_end(
-    hub: &Hub,
+    proxy: &Proxy,
     call: &Call<'_>,
     attempt: u64,
     result: &Result<Answer, Outcome>,
@@ -107,8 +113,8 @@
         Err(outcome @ Outcome::NotRun(..)) => (wire::NOT_RUN, outcome.reason(), 0),
         Err(outcome @ Outcome::Unknown(_)) => (wire::UNKNOWN, outcome.reason(), 0),
     };
-    call.trail.note(
-        &hub.log,
+    call.trace.note(
+        &proxy.log,
         trail::Step::Attempted {
             attempt,
             outcome: outcome.to_owned(),
@@ -121,26 +127,28 @@
 
 /// Notes a call to an upstream, also if the call is dropped before it ends.
 struct Watch<'a> {
-    hub: &'a Hub,
+    proxy: &'a Proxy,
     service: &'a str,
     upstream: &'a Upstream,
     ended: bool,
 }
 
 impl<'a> Watch<'a> {
-    fn new(hub: &'a Hub, service: &'a str, upstream: &'a Upstream, now: Time) -> Self {
-        hub.services.with(service, |s| s.record(upstream, now).begin());
-        Watch { hub, service, upstream, ended: false }
+    fn new(proxy: &'a Proxy, service: &'a str, upstream: &'a Upstream, now: Time) -> Self {
+        proxy.services.with(service, |s| s.record(upstream, now).begin());
+        Watch { proxy, service, upstream, ended: false }
     }
 
     fn end(&mut self, sample: Sample) {
         self.ended = true;
-        let now = self.hub.clock.now();
-        let change =
-            self.hub.services.with(self.service, |s| s.record(self.upstream, now).end(now, sample));
+        let now = self.proxy.clock.now();
+        let change = self
+            .proxy
+            .services
+            .with(self.service, |s| s.record(self.upstream, now).end(now, sample));
         if change == Change::Ejected {
-            self.hub.meter.ejection(self.service);
-            self.hub.tally.add(Count::Ejected(self.service.to_owned(), self.upstream.address));
+            self.proxy.meter.ejection(self.service);
+            self.proxy.events.add(Event::Ejected(self.service.to_owned(), self.upstream.address));
         }
     }
 }
@@ -148,8 +156,8 @@
 impl Drop for Watch<'_> {
     fn drop(&mut self) {
         if !self.ended {
-            let now = self.hub.clock.now();
-            self.hub.services.with(self.service, |s| s.record(self.upstream, now).abandon());
+            let now = self.proxy.clock.now();
+            self.proxy.services.with(self.service, |s| s.record(self.upstream, now).abandon());
         }
     }
 }
--- a/crates/traffic/src/entry/choice.rs
+++ b/crates/traffic/src/entry/choice.rs
@@ -13,27 +13,27 @@
 
 use crate::{
     call::Call,
-    hub::{Hub, services::is_same_life},
+    proxy::{Proxy, services::is_same_incarnation},
 };
 
 /// An upstream that may take work, and what was seen of it.
 type Seen<'a> = (&'a Upstream, &'a Record);
 
 /// Chooses an upstream that the call was not offered to so far.
-pub(super) fn choose(hub: &Hub, call: &Call<'_>, tried: &[Upstream]) -> Option<Upstream> {
-    let view = hub.view();
-    let now = hub.clock.now();
+pub(super) fn choose(proxy: &Proxy, call: &Call<'_>, tried: &[Upstream]) -> Option<Upstream> {
+    let view = proxy.view();
+    let now = proxy.clock.now();
     let able: Vec<&Upstream> =
         view.upstreams(call.service).iter().filter(|u| u.state.takes_work()).collect();
-    hub.services.with(call.service, |service| {
+    proxy.services.with(call.service, |service| {
         for upstream in &able {
             service.record(upstream, now);
         }
         let seen = |upstream| Some((upstream, service.seen(upstream)?));
         let able: Vec<Seen<'_>> = able.into_iter().map(seen).collect::<Option<_>>()?;
-        let chosen = match hub.settings.incarnation {
+        let chosen = match proxy.settings.incarnation {
             Some(_) => choose_near(call, &able, tried, now),
-            None => choose_room(hub, call, &able, tried, now),
+            None => choose_room(proxy, call, &able, tried, now),
         };
         chosen.map(|index| able[index].0.clone())
     })
@@ -52,32 +52,32 @@
 
 /// Chooses by the room that upstreams are known to have.
 fn choose_room(
-    hub: &Hub,
+    proxy: &Proxy,
     call: &Call<'_>,
     able: &[Seen<'_>],
     tried: &[Upstream],
     now: Time,
 ) -> Option<usize> {
-    let returning = hub.estimates.bytes(call.service, &call.terms.route);
-    let warm_up = hub.warm_up(call.service);
+    let returning = proxy.estimates.bytes(call.service, &call.options.route);
+    let warm_up = proxy.warm_up(call.service);
     let candidates: Vec<placement::Candidate<'_>> = able
         .iter()
         .map(|&(u, record)| placement::Candidate {
             record,
             slots: u.slots,
-            way: way(hub, u),
+            way: way(proxy, u),
             tried: is_tried(tried, u),
             crossing: call.payload.body.len(),
             returning,
             refusals: tried.len() as u32,
-            cold: cold(hub, warm_up, u, now),
+            cold: cold(proxy, warm_up, u, now),
         })
         .collect();
     placement::choose(&candidates, call.kind(), now, &mut rand::rng())
 }
 
-fn cold(hub: &Hub, warm_up: Option<WarmUp>, upstream: &Upstream, now: Time) -> placement::Cold {
-    match warm_up.and_then(|warm_up| hub.limit(warm_up, upstream, now)) {
+fn cold(proxy: &Proxy, warm_up: Option<WarmUp>, upstream: &Upstream, now: Time) -> placement::Cold {
+    match warm_up.and_then(|warm_up| proxy.limit(warm_up, upstream, now)) {
         Some(limit) => placement::Cold::Limited(limit.rate),
         None if now < upstream.cold_until => placement::Cold::Slow,
         None => placement::Cold::No,
@@ -87,20 +87,20 @@
 /// Chooses among all upstreams again, where every one was tried and the last was silent.
 ///
 /// The connection may have been silent and not the upstream; the next attempt uses a new one.
-pub(super) fn choose_again(hub: &Hub, call: &Call<'_>, last: Outcome) -> Option<Upstream> {
+pub(super) fn choose_again(proxy: &Proxy, call: &Call<'_>, last: Outcome) -> Option<Upstream> {
     let silent = last == Outcome::Unknown(Doubt::Timeout) && call.kind() == Kind::Idempotent;
-    if silent { choose(hub, call, &[]) } else { None }
+    if silent { choose(proxy, call, &[]) } else { None }
 }
 
 /// Tells whether the call was offered to this life of `upstream`. What else its entry says may have
 /// changed since.
 fn is_tried(tried: &[Upstream], upstream: &Upstream) -> bool {
-    tried.iter().any(|earlier| is_same_life(earlier, upstream))
+    tried.iter().any(|earlier| is_same_incarnation(earlier, upstream))
 }
 
-fn way(hub: &Hub, upstream: &Upstream) -> placement::Way {
+fn way(proxy: &Proxy, upstream: &Upstream) -> placement::Way {
     match upstream {
-        own if hub.is_own(own) => placement::Way::Own,
+        own if proxy.is_colocated(own) => placement::Way::Own,
         near if near.near => placement::Way::Near,
         _ => placement::Way::Far,
     }
--- a/crates/traffic/src/entry/hedge.rs
+++ b/crates/traffic/src/entry/hedge.rs
@@ -16,34 +16,34 @@
 use crate::{
     call::{Answer, Call},
     entry::{attempt, choice::choose, repeat},
-    hub::Hub,
-    record::tally::Count,
+    proxy::Proxy,
+    record::events::Event,
 };
 
 /// Offers the call to `first`, and to one more upstream if that stays silent for long.
 ///
 /// `tried` and `arrivals` count the second upstream as well.
 pub(super) async fn run(
-    hub: &Arc<Hub>,
+    proxy: &Arc<Proxy>,
     call: &Call<'_>,
     first: &Upstream,
     tried: &mut Vec<Upstream>,
     arrivals: &mut u32,
 ) -> Result<Answer, Outcome> {
-    let begun = hub.clock.now();
-    let mut primary = pin!(attempt::run(hub, call, first, call.deadline));
-    let Some(delay) = repeat::second_delay(hub, call, first) else { return primary.await };
+    let begun = proxy.clock.now();
+    let mut primary = pin!(attempt::run(proxy, call, first, call.deadline));
+    let Some(delay) = repeat::second_delay(proxy, call, first) else { return primary.await };
     if let Ok(result) = timeout(delay, &mut primary).await {
         return result;
     }
-    let Some(second) = second_upstream(hub, call, tried, *arrivals + 1) else {
+    let Some(second) = second_upstream(proxy, call, tried, *arrivals + 1) else {
         return primary.await;
     };
     tried.push(second.clone());
     *arrivals += 1;
-    hub.meter.retry(call.service);
-    hub.tally.add(Count::Retried(call.service.to_owned(), first.address, "silent"));
-    let mut secondary = pin!(attempt::run(hub, call, &second, call.deadline));
+    proxy.meter.retry(call.service);
+    proxy.events.add(Event::Retried(call.service.to_owned(), first.address, "silent"));
+    let mut secondary = pin!(attempt::run(proxy, call, &second, call.deadline));
     let (earlier, later) = select! {
         result = &mut primary => match result {
             Ok(answer) => return Ok(answer),
@@ -51,7 +51,7 @@
         },
         result = &mut secondary => match result {
             Ok(answer) => {
-                attempt::note_overtaken(hub, call, first, hub.clock.now().since(begun));
+                attempt::note_overtaken(proxy, call, first, proxy.clock.now().since(begun));
                 return Ok(answer);
             }
             Err(outcome) => (outcome, primary.await),
@@ -62,7 +62,7 @@
 
 /// Returns the upstream for a second attempt, if one may be made.
 fn second_upstream(
-    hub: &Hub,
+    proxy: &Proxy,
     call: &Call<'_>,
     tried: &[Upstream],
     arrivals: u32,
@@ -70,7 +70,7 @@
     if call.kind() != Kind::Idempotent {
         return None;
     }
-    let second = choose(hub, call, tried)?;
-    let step = repeat::next_step(hub, call, retry::SILENT, tried.len(), arrivals);
+    let second = choose(proxy, call, tried)?;
+    let step = repeat::next_step(proxy, call, retry::SILENT, tried.len(), arrivals);
     (step == retry::Step::Again).then_some(second)
 }
--- a/crates/traffic/src/entry/repeat.rs
+++ b/crates/traffic/src/entry/repeat.rs
@@ -9,13 +9,13 @@
 };
 use std::time::Duration;
 
-use crate::{call::Call, hub::Hub};
+use crate::{call::Call, proxy::Proxy};
 
 /// Counts a call towards the budget for repeats.
-pub(super) fn note_call(hub: &Hub, call: &Call<'_>) {
-    let now = hub.clock.now();
-    let budget = hub.tuning().budget;
-    hub.services.with(call.service, |service| match &budget {
+pub(super) fn note_call(proxy: &Proxy, call: &Call<'_>) {
+    let now = proxy.clock.now();
+    let budget = proxy.tuning().budget;
+    proxy.services.with(call.service, |service| match &budget {
         Some(settings) => service.window.call(settings, now),
         None => service.budget.earn(call.profile.retry_budget_percent),
     });
@@ -23,54 +23,54 @@
 
 /// Decides whether a failed attempt is followed by another one.
 pub(super) fn next_step(
-    hub: &Hub,
+    proxy: &Proxy,
     call: &Call<'_>,
     outcome: Outcome,
     offers: usize,
     arrivals: u32,
 ) -> retry::Step {
     let may_end_upstreams =
-        matches!(outcome, Outcome::Unknown(_)) && hub.is_suspected(&call.payload, call.service);
+        matches!(outcome, Outcome::Unknown(_)) && proxy.is_suspected(&call.payload, call.service);
     if may_end_upstreams {
         // A repeat in the next moment would end one more upstream before word of this one arrives.
         return retry::Step::GiveUp;
     }
-    let limit = call.terms.attempts;
+    let limit = call.options.attempts;
     let kind = call.kind();
-    let Some(settings) = hub.tuning().budget else {
+    let Some(settings) = proxy.tuning().budget else {
         let attempt = retry::Attempt { outcome, kind, made: offers as u32, limit };
-        return hub.services.with(call.service, |s| retry::decide(attempt, &mut s.budget));
+        return proxy.services.with(call.service, |s| retry::decide(attempt, &mut s.budget));
     };
     if !retry::may_offer(offers) {
         return retry::Step::GiveUp;
     }
     let attempt = retry::Attempt { outcome, kind, made: arrivals, limit };
-    let nodes = hub.fleet_size();
-    let now = hub.clock.now();
+    let nodes = proxy.fleet_size();
+    let now = proxy.clock.now();
     retry::decide_arrivals(attempt, || {
-        hub.services.with(call.service, |s| s.window.repeat(&settings, nodes, now))
+        proxy.services.with(call.service, |s| s.window.repeat(&settings, nodes, now))
     })
 }
 
 /// Returns until when the attempt number `made` may take.
-pub(super) fn patience(hub: &Hub, call: &Call<'_>, made: usize) -> Time {
-    let now = hub.clock.now();
+pub(super) fn patience(proxy: &Proxy, call: &Call<'_>, made: usize) -> Time {
+    let now = proxy.clock.now();
     let remaining = call.deadline.since(now);
-    now + retry::attempt_time(remaining, call.kind(), made as u32 - 1, call.terms.attempts)
+    now + retry::attempt_time(remaining, call.kind(), made as u32 - 1, call.options.attempts)
 }
 
 /// Returns how long the first attempt may be silent before a second one is made beside it; none
 /// where the call may run only once.
-pub(super) fn second_delay(hub: &Hub, call: &Call<'_>, first: &Upstream) -> Option<Duration> {
+pub(super) fn second_delay(proxy: &Proxy, call: &Call<'_>, first: &Upstream) -> Option<Duration> {
     if call.kind() == Kind::Once {
         return None;
     }
-    let now = hub.clock.now();
+    let now = proxy.clock.now();
     let remaining = call.deadline.since(now);
     let due = call.due.map_or(remaining, |due| due.since(now));
-    let latency = hub.estimates.latency(call.service, &call.terms.route);
+    let latency = proxy.estimates.latency(call.service, &call.options.route);
     let latency = latency.unwrap_or_else(|| Estimate::guess(due));
-    let (slowness, failure_share) = hub.services.with(call.service, |s| {
+    let (slowness, failure_share) = proxy.services.with(call.service, |s| {
         let record = s.record(first, now);
         (record.slowness(now), record.failure_share(now))
     });
--- /dev/null
+++ b/crates/traffic/src/forward.rs
@@ -0,0 +1,4 @@
+//! Offers between nodes.
+
+pub(crate) mod receiver;
+pub(crate) mod sender;
--- a/crates/traffic/src/link/arrival.rs
+++ b/crates/traffic/src/forward/receiver.rs
@@ -14,11 +14,11 @@
 
 use crate::{
     call::{Answer, Offer, Payload},
-    hub::{Hub, room::Reservation},
     net::{
-        body::{self, Inflow},
+        body::{self, Inbound},
         stream::Probe,
     },
+    proxy::{Proxy, in_flight::Reservation},
     serving, wire,
 };
 
@@ -27,13 +27,13 @@
 
 /// Answers an offer of an entry node.
 pub(crate) async fn answer(
-    hub: &Arc<Hub>,
-    request: Request<Inflow>,
+    proxy: &Arc<Proxy>,
+    request: Request<Inbound>,
     origin: Probe,
     received: Time,
 ) -> Response<wire::Body> {
     let id = wire::read_number(request.headers(), wire::ID);
-    let result = take(hub, request, origin, received).await;
+    let result = take(proxy, request, origin, received).await;
     let mut response = match result {
         Ok(answer) if answer.head.headers().contains_key(wire::TICKET) => given(answer),
         Ok(answer) => answer.response(),
@@ -43,48 +43,49 @@
     if let Ok(Some(id)) = id {
         headers.insert(wire::ID, wire::number(id));
     }
-    headers.insert(wire::LOAD, wire::load(hub.load()));
+    headers.insert(wire::LOAD, wire::load(proxy.load()));
     response
 }
 
 /// Takes an offer in, and gives it a turn or runs it.
 async fn take(
-    hub: &Arc<Hub>,
-    request: Request<Inflow>,
+    proxy: &Arc<Proxy>,
+    request: Request<Inbound>,
     origin: Probe,
     received: Time,
 ) -> Result<Answer, Outcome> {
     let (head, incoming) = request.into_parts();
     let stated =
         read(&head.headers, received).map_err(|wire::Malformed| Cause::BadRequest.outcome())?;
-    let config = hub.config();
+    let config = proxy.config();
     // A node that holds no configuration yet cannot keep the profile's promises.
-    let service = config.service(&hub.settings.service);
+    let service = config.service(&proxy.settings.service);
     let profile = service.map(|s| config.profile(s)).ok_or_else(|| Cause::Unreachable.outcome())?;
     let limit =
         if config.has_routes() { config.limits.body_bytes } else { profile.max_request_bytes };
     let turn = match wire::read_number(&head.headers, wire::TICKET) {
-        Ok(Some(ticket)) => hub.transfers.redeem(ticket),
+        Ok(Some(ticket)) => proxy.transfers.redeem(ticket),
         _ => None,
     };
     let reserves = head.headers.contains_key(wire::RESERVE);
-    let mut reserved = Reservation::new(&hub.held);
-    if !reserved.extend(body::declared(&head.headers).unwrap_or(0), hub.tuning().room) {
+    let mut reserved = Reservation::new(&proxy.in_flight);
+    if !reserved.extend(body::declared_length(&head.headers).unwrap_or(0), proxy.tuning().capacity)
+    {
         return Err(Cause::Overloaded.outcome());
     }
     let body = body::receive(incoming, limit, stated.deadline.since(received)).await;
     let body = body.map_err(|_| Cause::BadRequest.outcome())?;
     let mut offer = offer(head, stated, body, origin, received);
     if let Some(turn) = turn {
-        let start_by = transfer::start_crossed(hub.clock.now(), offer.deadline);
+        let start_by = transfer::start_crossed(proxy.clock.now(), offer.deadline);
         offer.rank = Rank { start_by: Some(start_by), ..offer.rank };
-        hub.transfers.finish(turn);
+        proxy.transfers.finish(turn);
     }
     if reserves {
-        let ticket = serving::reserve(hub, profile, &offer).await?;
+        let ticket = serving::reserve(proxy, profile, &offer).await?;
         return Ok(turn_given(ticket));
     }
-    serving::run(hub, profile, offer).await
+    serving::run(proxy, profile, offer).await
 }
 
 /// What an entry node states of a call that it offers.
--- a/crates/traffic/src/link/offer.rs
+++ b/crates/traffic/src/forward/sender.rs
@@ -16,23 +16,23 @@
 
 use crate::{
     call::{Answer, Call, Offer},
-    hub::Hub,
     net::{
         body,
-        pool::{Connection, Failure},
+        pool::{Connection, SendError},
     },
+    proxy::Proxy,
     serving, wire,
 };
 
 /// Offers the call to one upstream and waits for its answer no longer than until `patience`.
 pub(crate) async fn attempt(
-    hub: &Arc<Hub>,
+    proxy: &Arc<Proxy>,
     call: &Call<'_>,
     upstream: &Upstream,
     id: u64,
     patience: Time,
 ) -> Result<Answer, Outcome> {
-    let now = hub.clock.now();
+    let now = proxy.clock.now();
     let offer = Offer {
         payload: call.payload.clone(),
         received: call.received,
@@ -45,18 +45,18 @@
         origin: call.origin.clone(),
         id,
     };
-    if hub.is_own(upstream) {
-        let work = timeout(patience.since(now), serving::run(hub, call.profile, offer));
+    if proxy.is_colocated(upstream) {
+        let work = timeout(patience.since(now), serving::run(proxy, call.profile, offer));
         let result = work.await.unwrap_or_else(|_| Err(of_loss(Step::Run, Loss::Silent)));
-        let (load, now) = (hub.load(), hub.clock.now());
-        hub.services.with(call.service, |s| s.record(upstream, now).hear_load(load, now));
+        let (load, now) = (proxy.load(), proxy.clock.now());
+        proxy.services.with(call.service, |s| s.record(upstream, now).hear_load(load, now));
         return result;
     }
     let mut ticket = None;
-    if hub.settings.incarnation.is_none() && offer.payload.body.len() >= placement::LARGE {
-        ticket = Some(reserve(hub, call, upstream, &offer, patience).await?);
+    if proxy.settings.incarnation.is_none() && offer.payload.body.len() >= placement::LARGE {
+        ticket = Some(reserve(proxy, call, upstream, &offer, patience).await?);
     }
-    carry(hub, call, upstream, &offer, &Parcel::Offer(ticket), patience).await
+    carry(proxy, call, upstream, &offer, &Parcel::Offer(ticket), patience).await
 }
 
 /// What is sent to a serving node.
@@ -69,13 +69,13 @@
 
 /// Asks for a turn to send a large body.
 async fn reserve(
-    hub: &Arc<Hub>,
+    proxy: &Arc<Proxy>,
     call: &Call<'_>,
     upstream: &Upstream,
     offer: &Offer,
     patience: Time,
 ) -> Result<u64, Outcome> {
-    let answer = carry(hub, call, upstream, offer, &Parcel::Question, patience).await;
+    let answer = carry(proxy, call, upstream, offer, &Parcel::Question, patience).await;
     // Whatever becomes of a question, the call itself has not been sent.
     let answer = answer.map_err(|outcome| match outcome {
         Outcome::Unknown(_) => Cause::Unreachable.outcome(),
@@ -89,7 +89,7 @@
 
 /// Sends a parcel on a kept connection, or on a new one.
 async fn carry(
-    hub: &Arc<Hub>,
+    proxy: &Arc<Proxy>,
     call: &Call<'_>,
     upstream: &Upstream,
     offer: &Offer,
@@ -97,17 +97,17 @@
     patience: Time,
 ) -> Result<Answer, Outcome> {
     let limit = Duration::from_millis(call.profile.idle_ms);
-    if let Some(connection) = hub.pool.take(upstream.traffic, limit, offer.kind) {
-        match send(hub, call, upstream, offer, parcel, connection, patience).await {
+    if let Some(connection) = proxy.pool.take(upstream.traffic, limit, offer.kind) {
+        match send(proxy, call, upstream, offer, parcel, connection, patience).await {
             Err(None) => {}
             result => return result.map_err(settled),
         }
     }
-    let time = hub.tuning().connect + transfer::backlog(hub.settings.link_mbps);
-    let time = time.min(patience.since(hub.clock.now()));
-    let opened = hub.pool.open(upstream.traffic, time).await;
+    let time = proxy.tuning().connect_timeout + transfer::backlog(proxy.settings.link_mbps);
+    let time = time.min(patience.since(proxy.clock.now()));
+    let opened = proxy.pool.open(upstream.traffic, time).await;
     let connection = opened.map_err(|_| of_loss(Step::Connect, Loss::Closed))?;
-    send(hub, call, upstream, offer, parcel, connection, patience).await.map_err(settled)
+    send(proxy, call, upstream, offer, parcel, connection, patience).await.map_err(settled)
 }
 
 /// A failure to send of which nothing was written counts as one to connect.
@@ -117,7 +117,7 @@
 
 /// Offers the call to a serving node; an error without outcome means that nothing was written.
 async fn send(
-    hub: &Arc<Hub>,
+    proxy: &Arc<Proxy>,
     call: &Call<'_>,
     upstream: &Upstream,
     offer: &Offer,
@@ -125,31 +125,31 @@
     mut connection: Connection,
     patience: Time,
 ) -> Result<Answer, Option<Outcome>> {
-    let now = hub.clock.now();
+    let now = proxy.clock.now();
     let request = offer_request(call, offer, parcel, now);
     let time = patience.since(now);
     let exchange = async {
         let head = match connection.send(request).await {
             Ok(head) => head,
-            Err(Failure::Unsent) => return Err(None),
-            Err(Failure::Broken) => return Err(Some(of_loss(Step::Offer, Loss::Closed))),
+            Err(SendError::Unsent) => return Err(None),
+            Err(SendError::Broken) => return Err(Some(of_loss(Step::Offer, Loss::Closed))),
         };
-        receive(hub, call, upstream, offer, head, time).await
+        receive(proxy, call, upstream, offer, head, time).await
     };
     let result =
         timeout(time, exchange).await.unwrap_or(Err(Some(of_loss(Step::Offer, Loss::Silent))));
     let usable = matches!(result, Ok(_) | Err(Some(Outcome::NotRun(..))));
     if usable {
-        hub.pool.put(upstream.traffic, connection);
+        proxy.pool.put(upstream.traffic, connection);
     } else if matches!(result, Err(Some(Outcome::Unknown(Doubt::Timeout)))) {
-        hub.pool.forget(upstream.traffic);
+        proxy.pool.close_idle(upstream.traffic);
     }
     result
 }
 
 /// Receives a serving node's answer whole and reads the outcome it tells.
 async fn receive(
-    hub: &Hub,
+    proxy: &Proxy,
     call: &Call<'_>,
     upstream: &Upstream,
     offer: &Offer,
@@ -161,13 +161,15 @@
         return Err(Some(Outcome::Unknown(Doubt::BadAnswer)));
     }
     if let Some(load) = wire::read_load(&parts.headers) {
-        let now = hub.clock.now();
-        hub.services.with(call.service, |s| s.record(upstream, now).hear_load(load, now));
+        let now = proxy.clock.now();
+        proxy.services.with(call.service, |s| s.record(upstream, now).hear_load(load, now));
     }
     let body = body::receive(incoming, call.profile.max_answer_bytes, time).await;
     let body = body.map_err(|fault| match fault {
-        body::Fault::Slow => Some(of_loss(Step::Answer, Loss::Silent)),
-        body::Fault::Large | body::Fault::Short => Some(of_loss(Step::Answer, Loss::Garbled)),
+        body::Fault::TimedOut => Some(of_loss(Step::Answer, Loss::Silent)),
+        body::Fault::TooLarge | body::Fault::Truncated => {
+            Some(of_loss(Step::Answer, Loss::Garbled))
+        }
     })?;
     match wire::outcome(&parts.headers) {
         Ok(None) => Ok(Answer { head: Response::from_parts(parts, ()), body }),
@@ -209,7 +211,7 @@
     }
     let start_by = match parcel {
         Parcel::Offer(_) => offer.rank.start_by,
-        Parcel::Question => call.turn_by.or(offer.rank.start_by),
+        Parcel::Question => call.transfer_by.or(offer.rank.start_by),
     };
     if let Some(start_by) = start_by {
         headers.insert(wire::START, wire::number(start_by.since(now).as_millis() as u64));
--- a/crates/traffic/src/intake.rs
+++ b/crates/traffic/src/intake.rs
@@ -15,9 +15,9 @@
 use std::sync::Arc;
 
 use crate::{
-    hub::Hub,
-    link::arrival,
-    net::{body::Inflow, stream::Probe},
+    forward::receiver,
+    net::{body::Inbound, stream::Probe},
+    proxy::Proxy,
     wire,
 };
 
@@ -37,26 +37,29 @@
 
 /// Answers a request, of a caller or of another node.
 pub(crate) async fn handle(
-    hub: &Arc<Hub>,
-    request: Request<Inflow>,
+    proxy: &Arc<Proxy>,
+    request: Request<Inbound>,
     origin: Probe,
     door: Door,
 ) -> Response<wire::Body> {
-    let received = hub.clock.now();
+    let received = proxy.clock.now();
     let is_offer = match door {
         Door::All => request.headers().contains_key(wire::OFFER),
         Door::Nodes => true,
         Door::Callers | Door::Ready => false,
     };
     let mut response = if is_offer {
-        arrival::answer(hub, request, origin, received).await
+        receiver::answer(proxy, request, origin, received).await
     } else {
-        caller::answer(hub, request, origin, received).await
+        caller::answer(proxy, request, origin, received).await
     };
     // A refused caller comes back on a new connection; keeping the old one open would only fill
     // the table of connections while there are too many callers.
     let refused = door == Door::Callers && response.status() == StatusCode::SERVICE_UNAVAILABLE;
-    if refused || hub.state.is_leaving() || (hub.state.was_open() && !hub.state.is_open()) {
+    if refused
+        || proxy.lifecycle.is_leaving()
+        || (proxy.lifecycle.was_ready() && !proxy.lifecycle.is_ready())
+    {
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
     response
--- a/crates/traffic/src/intake/caller.rs
+++ b/crates/traffic/src/intake/caller.rs
@@ -13,14 +13,14 @@
 use crate::{
     call::{Call, Payload},
     entry,
-    hub::Hub,
     intake::{
         open::Open,
         refusal::{self, Refusal},
         upload::{self, Upload},
     },
-    net::{body::Inflow, stream::Probe},
-    record::Trail,
+    net::{body::Inbound, stream::Probe},
+    proxy::Proxy,
+    record::Trace,
     routing::{
         returning,
         schedule::{self, Schedule},
@@ -31,25 +31,25 @@
 
 /// Answers a caller.
 pub(super) async fn answer(
-    hub: &Arc<Hub>,
-    request: Request<Inflow>,
+    proxy: &Arc<Proxy>,
+    request: Request<Inbound>,
     origin: Probe,
     received: Time,
 ) -> Response<wire::Body> {
-    let config = hub.config();
-    let mut open = Open::new(hub, &request, received);
-    let mut response = match target::find(hub, &config, &request) {
+    let config = proxy.config();
+    let mut open = Open::new(proxy, &request, received);
+    let mut response = match target::find(proxy, &config, &request) {
         Err(cause) => {
-            let (revision, expected) = (config.version.revision, hub.expected());
-            open.trail.note(&hub.log, Step::Unrouted { revision, expected });
-            Refusal::of(cause).tell(hub, "")
+            let (revision, expected) = (config.version.revision, proxy.expected_revision());
+            open.trace.note(&proxy.log, Step::Unrouted { revision, expected });
+            Refusal::of(cause).tell(proxy, "")
         }
         Ok(target) => {
             let service = target.service;
-            let taken = take(hub, request, target, origin, received, &open.trail).await;
-            let response = taken.unwrap_or_else(|refusal| refusal.tell(hub, service));
-            let elapsed = hub.clock.now().since(received);
-            hub.meter.call(service, wire::known_outcome(outcome_of(&response)), elapsed);
+            let taken = take(proxy, request, target, origin, received, &open.trace).await;
+            let response = taken.unwrap_or_else(|refusal| refusal.tell(proxy, service));
+            let elapsed = proxy.clock.now().since(received);
+            proxy.meter.call(service, wire::known_outcome(outcome_of(&response)), elapsed);
             response
         }
     };
@@ -64,59 +64,61 @@
 
 /// Lets a call in and carries it to its end, or says why it is not let in.
 async fn take(
-    hub: &Arc<Hub>,
-    request: Request<Inflow>,
+    proxy: &Arc<Proxy>,
+    request: Request<Inbound>,
     target: Target<'_>,
     origin: Probe,
     received: Time,
-    trail: &Trail,
+    trace: &Trace,
 ) -> Result<Response<wire::Body>, Refusal> {
     let (head, incoming) = request.into_parts();
-    let schedule = let_in(hub, &head, &target, received, trail)?;
+    let schedule = let_in(proxy, &head, &target, received, trace)?;
     let left = schedule.deadline.since(received);
-    let upload = upload::receive(hub, &target, &head.headers, incoming, left).await?;
-    let Upload { body, hand: _hand, reserved: _reserved } = upload;
+    let upload = upload::receive(proxy, &target, &head.headers, incoming, left).await?;
+    let Upload { body, guard: _guard, reserved: _reserved } = upload;
     let service = target.service;
-    let call = call(hub, head, target, &schedule, body, origin, trail);
-    let response = match entry::run(hub, &call).await {
+    let call = call(proxy, head, target, &schedule, body, origin, trace);
+    let response = match entry::run(proxy, &call).await {
         Ok(answer) => {
-            hub.running.answered(trail.id());
+            proxy.running.answered(trace.id());
             answer.response()
         }
-        Err(outcome) => refusal::tell(hub, service, with_comeback(hub, outcome, schedule.clock)),
+        Err(outcome) => {
+            refusal::tell(proxy, service, with_comeback(proxy, outcome, schedule.clock))
+        }
     };
-    returning::note(hub, schedule.caller, &response);
+    returning::note(proxy, schedule.caller, &response);
     Ok(response)
 }
 
 /// Checks the head of a call and reads its time.
 fn let_in(
-    hub: &Hub,
+    proxy: &Proxy,
     head: &Parts,
     target: &Target<'_>,
     received: Time,
-    trail: &Trail,
+    trace: &Trace,
 ) -> Result<Schedule, Refusal> {
     if wire::size(&head.headers) > target.header_limit {
         return Err(Refusal::bad_request(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE));
     }
-    let schedule = schedule::read(hub, head, target, trail.id(), received)
+    let schedule = schedule::read(proxy, head, target, trace.id(), received)
         .map_err(|wire::Malformed| Refusal::bad_request(StatusCode::BAD_REQUEST))?;
     if let Some(due) = schedule.due() {
-        trail.set_due(due);
+        trace.set_due(due);
     }
-    note_routed(hub, target, &schedule, trail);
+    note_routed(proxy, target, &schedule, trace);
     Ok(schedule)
 }
 
-fn note_routed(hub: &Hub, target: &Target<'_>, schedule: &Schedule, trail: &Trail) {
+fn note_routed(proxy: &Proxy, target: &Target<'_>, schedule: &Schedule, trace: &Trace) {
     let elapsed_ms = schedule.clock.map_or(0, |clock| clock.elapsed.as_millis() as u64);
-    trail.note(
-        &hub.log,
+    trace.note(
+        &proxy.log,
         Step::Routed {
-            route: target.terms.route.clone(),
+            route: target.options.route.clone(),
             service: target.service.to_owned(),
-            revision: hub.config().version.revision,
+            revision: proxy.config().version.revision,
             nested: matches!(schedule.origin, Origin::Upstream(_)),
             elapsed_ms,
             left_ms: schedule.deadline.since(schedule.received).as_millis() as u64,
@@ -127,43 +129,43 @@
 
 /// Returns the call as it is offered to upstreams.
 fn call<'a>(
-    hub: &Hub,
+    proxy: &Proxy,
     head: Parts,
     target: Target<'a>,
     schedule: &Schedule,
     body: Bytes,
     origin: Probe,
-    trail: &'a Trail,
+    trace: &'a Trace,
 ) -> Call<'a> {
-    let names = &hub.settings.names;
+    let names = &proxy.settings.names;
     let mut headers = head.headers;
     wire::strip(&mut headers);
     wire::strip_claims(&mut headers, names);
-    if let (Some(name), Ok(own)) = (&names.caller, HeaderValue::from_str(&hub.settings.service)) {
+    if let (Some(name), Ok(own)) = (&names.caller, HeaderValue::from_str(&proxy.settings.service)) {
         headers.insert(name.clone(), own);
     }
     Call {
         service: target.service,
         profile: target.profile,
-        terms: target.terms,
+        options: target.options,
         payload: Payload::new(head.method, target.path, headers, body),
         received: schedule.received,
         deadline: schedule.deadline,
         due: schedule.due(),
-        turn_by: schedule.turn_by(),
+        transfer_by: schedule.transfer_by(),
         rank: schedule.rank,
         origin,
-        trail,
+        trace,
     }
 }
 
 /// Replaces the usual time to come back by one that suits the call.
-fn with_comeback(hub: &Hub, outcome: Outcome, clock: Option<urgency::Clock>) -> Outcome {
+fn with_comeback(proxy: &Proxy, outcome: Outcome, clock: Option<urgency::Clock>) -> Outcome {
     match (outcome, clock) {
         // Nothing that the caller could wait for comes sooner.
         (Outcome::NotRun(Cause::Quarantined, _), _) => outcome,
         (Outcome::NotRun(cause, _), Some(clock)) => {
-            let clock = clock.at(hub.clock.now());
+            let clock = clock.at(proxy.clock.now());
             Outcome::NotRun(cause, urgency::comeback(clock, &mut rand::rng()))
         }
         _ => outcome,
--- a/crates/traffic/src/intake/open.rs
+++ b/crates/traffic/src/intake/open.rs
@@ -5,24 +5,24 @@
 use trail::Step;
 
 use crate::{
-    hub::Hub,
-    net::body::Inflow,
-    record::{Interest, Trail},
+    net::body::Inbound,
+    proxy::Proxy,
+    record::{Interest, Trace},
     wire::{self, header_text},
 };
 
 /// A caller's request until it is answered, or until the caller goes away and it is dropped.
 pub(crate) struct Open<'a> {
-    hub: &'a Hub,
+    proxy: &'a Proxy,
     received: Time,
-    pub(crate) trail: Trail,
+    pub(crate) trace: Trace,
     ended: bool,
 }
 
 impl<'a> Open<'a> {
-    pub(crate) fn new(hub: &'a Hub, request: &Request<Inflow>, received: Time) -> Self {
-        let trail = Trail::new(request_id(hub, request));
-        Open { hub, received, trail, ended: false }
+    pub(crate) fn new(proxy: &'a Proxy, request: &Request<Inbound>, received: Time) -> Self {
+        let trace = Trace::new(request_id(proxy, request));
+        Open { proxy, received, trace, ended: false }
     }
 
     /// Notes the answer.
@@ -31,40 +31,40 @@
         let text = |name| header_text(response.headers(), name).unwrap_or_default();
         let outcome = wire::known_outcome(Some(text(wire::OUTCOME)));
         let status = response.status();
-        self.trail.note(
-            &self.hub.log,
+        self.trace.note(
+            &self.proxy.log,
             Step::Ended {
                 outcome: outcome.to_owned(),
                 reason: text(wire::CAUSE).to_owned(),
                 status: status.as_u16(),
                 retry_after_ms: text(wire::RETRY_AFTER_MS).parse().unwrap_or(0),
                 ms: self.elapsed_ms(),
-                attempts: self.trail.attempts(),
+                attempts: self.trace.attempts(),
             },
         );
-        let is_late = self.trail.is_late(self.hub.clock.now());
+        let is_late = self.trace.is_late(self.proxy.clock.now());
         let went_well = outcome == wire::ANSWERED && !status.is_server_error() && !is_late;
         let interest = if went_well { Interest::Usual } else { Interest::Notable };
-        self.trail.write(&self.hub.log, interest);
+        self.trace.write(&self.proxy.log, interest);
     }
 
     fn elapsed_ms(&self) -> u64 {
-        self.hub.clock.now().since(self.received).as_millis() as u64
+        self.proxy.clock.now().since(self.received).as_millis() as u64
     }
 }
 
 impl Drop for Open<'_> {
     fn drop(&mut self) {
         if !self.ended {
-            self.trail.note(&self.hub.log, Step::Abandoned { ms: self.elapsed_ms() });
-            self.trail.write(&self.hub.log, Interest::Notable);
+            self.trace.note(&self.proxy.log, Step::Abandoned { ms: self.elapsed_ms() });
+            self.trace.write(&self.proxy.log, Interest::Notable);
         }
     }
 }
 
 /// Returns the caller's id of a request, or one of this node where it gave none.
-fn request_id(hub: &Hub, request: &Request<Inflow>) -> String {
-    let given = hub.settings.names.request.clone();
+fn request_id(proxy: &Proxy, request: &Request<Inbound>) -> String {
+    let given = proxy.settings.names.request.clone();
     let given = given.and_then(|name| header_text(request.headers(), name));
-    given.map_or_else(|| format!("{}-{}", hub.settings.instance, hub.next_id()), str::to_owned)
+    given.map_or_else(|| format!("{}-{}", proxy.settings.instance, proxy.next_id()), str::to_owned)
 }
--- a/crates/traffic/src/intake/pipelining.rs
+++ b/crates/traffic/src/intake/pipelining.rs
@@ -22,13 +22,13 @@
 use tokio::{select, task::JoinHandle};
 
 use crate::{
-    hub::Hub,
     intake::{self, Door},
     lock::lock,
     net::{
-        body::Inflow,
-        stream::{Probe, Reader},
+        body::Inbound,
+        stream::{Probe, Tap},
     },
+    proxy::Proxy,
     routing::target,
     wire::{self, Precision},
 };
@@ -51,7 +51,7 @@
 
 /// What was read along on one connection.
 pub(crate) struct Pipeline {
-    hub: Arc<Hub>,
+    proxy: Arc<Proxy>,
     probe: Probe,
     state: Mutex<State>,
 }
@@ -84,13 +84,13 @@
 }
 
 impl Pipeline {
-    pub(crate) fn new(hub: Arc<Hub>, probe: Probe) -> Arc<Self> {
-        Arc::new(Pipeline { hub, probe, state: Mutex::default() })
+    pub(crate) fn new(proxy: Arc<Proxy>, probe: Probe) -> Arc<Self> {
+        Arc::new(Pipeline { proxy, probe, state: Mutex::default() })
     }
 
     /// Answers the next request that `hyper` hands over: by what was taken up before its turn, or else by
     /// `request` itself.
-    pub(crate) async fn answer(&self, request: Request<Inflow>) -> Response<wire::Body> {
+    pub(crate) async fn answer(&self, request: Request<Inbound>) -> Response<wire::Body> {
         let has_body = !request.body().is_end_stream();
         let response = if has_body { self.run(request).await } else { self.attend(request).await };
         self.lock().answered += 1;
@@ -101,7 +101,7 @@
     ///
     /// Not one with a body: its last bytes could be read here in the moment in which `hyper` waits
     /// for them at the socket; nothing would wake it, and the upload would hang until its deadline.
-    async fn attend(&self, request: Request<Inflow>) -> Response<wire::Body> {
+    async fn attend(&self, request: Request<Inbound>) -> Response<wire::Body> {
         select! {
             biased;
             response = self.run(request) => response,
@@ -109,13 +109,13 @@
         }
     }
 
-    async fn run(&self, request: Request<Inflow>) -> Response<wire::Body> {
+    async fn run(&self, request: Request<Inbound>) -> Response<wire::Body> {
         if let Some(mut task) = self.take()
             && let Ok(response) = (&mut task.0).await
         {
             return response;
         }
-        intake::handle(&self.hub, request, self.probe.clone(), Door::Callers).await
+        intake::handle(&self.proxy, request, self.probe.clone(), Door::Callers).await
     }
 
     /// Reads what comes while a call is under way, until the caller closes the connection.
@@ -123,7 +123,7 @@
         let mut chunk = [0; READ];
         while self.lock().inbox.len() < INBOX_MOST {
             let Some(count) = self.probe.read(&mut chunk).await else { return };
-            self.feed(&chunk[..count]);
+            self.observe(&chunk[..count]);
             self.lock().inbox.extend_from_slice(&chunk[..count]);
         }
         std::future::pending().await
@@ -144,12 +144,12 @@
     /// Takes up the call with this head, if it may be repeated.
     fn begin(&self, head: &[u8]) -> Option<Task> {
         let request = request(head)?;
-        if !target::may_repeat(&self.hub.config(), &request) {
+        if !target::may_repeat(&self.proxy.config(), &request) {
             return None;
         }
-        let (hub, probe) = (self.hub.clone(), self.probe.clone());
+        let (proxy, probe) = (self.proxy.clone(), self.probe.clone());
         Some(Task(tokio::spawn(async move {
-            intake::handle(&hub, request, probe, Door::Callers).await
+            intake::handle(&proxy, request, probe, Door::Callers).await
         })))
     }
 
@@ -158,8 +158,8 @@
     }
 }
 
-impl Reader for Pipeline {
-    fn feed(&self, bytes: &[u8]) {
+impl Tap for Pipeline {
+    fn observe(&self, bytes: &[u8]) {
         let mut state = self.lock();
         if state.blind {
             return;
@@ -178,7 +178,7 @@
         }
     }
 
-    fn unread(&self, room: usize) -> Option<BytesMut> {
+    fn take_prefetched(&self, room: usize) -> Option<BytesMut> {
         let mut state = self.lock();
         let length = state.inbox.len().min(room);
         (length > 0).then(|| state.inbox.split_to(length))
@@ -230,7 +230,7 @@
 }
 
 /// Returns the request with this head as `hyper` would; none where that would refuse it.
-fn request(bytes: &[u8]) -> Option<Request<Inflow>> {
+fn request(bytes: &[u8]) -> Option<Request<Inbound>> {
     let mut headers = [EMPTY_HEADER; HEADERS_MOST];
     let mut head = httparse::Request::new(&mut headers);
     head.parse(bytes).ok()?;
--- a/crates/traffic/src/intake/ready.rs
+++ b/crates/traffic/src/intake/ready.rs
@@ -2,12 +2,12 @@
 
 use hyper::{Response, StatusCode};
 
-use crate::{hub::Hub, wire};
+use crate::{proxy::Proxy, wire};
 
 /// Answers 200 while callers may send new work here and 503 otherwise, whatever the path.
-pub(crate) fn answer(hub: &Hub) -> Response<wire::Body> {
+pub(crate) fn answer(proxy: &Proxy) -> Response<wire::Body> {
     let mut response = Response::new(wire::Body::default());
-    if !hub.state.is_open() {
+    if !proxy.lifecycle.is_ready() {
         *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
     }
     response
--- a/crates/traffic/src/intake/refusal.rs
+++ b/crates/traffic/src/intake/refusal.rs
@@ -3,7 +3,7 @@
 use hyper::{Response, StatusCode};
 use policy::outcome::{Cause, Outcome};
 
-use crate::{hub::Hub, record::tally::Count, wire};
+use crate::{proxy::Proxy, record::events::Event, wire};
 
 /// Why a call is not let in.
 #[derive(Clone, Copy, Debug)]
@@ -25,8 +25,8 @@
     }
 
     /// Tells the caller of a call to `service`, and counts it.
-    pub(super) fn tell(self, hub: &Hub, service: &str) -> Response<wire::Body> {
-        let mut response = tell(hub, service, self.cause.outcome());
+    pub(super) fn tell(self, proxy: &Proxy, service: &str) -> Response<wire::Body> {
+        let mut response = tell(proxy, service, self.cause.outcome());
         if let Some(status) = self.status {
             *response.status_mut() = status;
         }
@@ -35,13 +35,13 @@
 }
 
 /// Tells the caller an outcome without an answer, and counts it.
-pub(super) fn tell(hub: &Hub, service: &str, outcome: Outcome) -> Response<wire::Body> {
+pub(super) fn tell(proxy: &Proxy, service: &str, outcome: Outcome) -> Response<wire::Body> {
     match outcome {
         Outcome::NotRun(cause, _) => {
-            hub.meter.not_run(service, cause.name());
-            hub.tally.add(Count::NotRun(service.to_owned(), cause));
+            proxy.meter.not_run(service, cause.name());
+            proxy.events.add(Event::NotRun(service.to_owned(), cause));
         }
-        Outcome::Unknown(doubt) => hub.tally.add(Count::Unknown(service.to_owned(), doubt)),
+        Outcome::Unknown(doubt) => proxy.events.add(Event::Unknown(service.to_owned(), doubt)),
     }
-    wire::response(outcome, hub.settings.names.precision)
+    wire::response(outcome, proxy.settings.names.precision)
 }
--- a/crates/traffic/src/intake/server.rs
+++ b/crates/traffic/src/intake/server.rs
@@ -12,9 +12,9 @@
 };
 
 use crate::{
-    hub::Hub,
     intake::{self, Door, pipelining::Pipeline, ready},
     net::stream::Stream,
+    proxy::Proxy,
 };
 
 /// Bound on waiting for a request's head, which also ends idle connections.
@@ -62,14 +62,14 @@
     }
 
     /// Serves connections for ever.
-    pub async fn serve(self, hub: Arc<Hub>) {
-        let room = Arc::new(Semaphore::new(hub.settings.connections));
+    pub async fn serve(self, proxy: Arc<Proxy>) {
+        let room = Arc::new(Semaphore::new(proxy.settings.max_connections));
         loop {
             // Beyond the bound, connections wait in the system's backlog and cost no memory here.
             let Ok(permit) = room.clone().acquire_owned().await else { return };
             match self.socket.accept().await {
                 Ok((socket, _)) => {
-                    tokio::spawn(serve_connection(hub.clone(), self.door, socket, permit));
+                    tokio::spawn(serve_connection(proxy.clone(), self.door, socket, permit));
                 }
                 Err(_) => sleep(ACCEPT_PAUSE).await,
             }
@@ -78,25 +78,25 @@
 }
 
 async fn serve_connection(
-    hub: Arc<Hub>,
+    proxy: Arc<Proxy>,
     door: Door,
     socket: tokio::net::TcpStream,
     _permit: OwnedSemaphorePermit,
 ) {
     let Ok(mut stream) = Stream::new(socket) else { return };
     let probe = stream.probe();
-    let pipeline = Pipeline::new(hub.clone(), probe.clone());
+    let pipeline = Pipeline::new(proxy.clone(), probe.clone());
     if door == Door::Callers {
-        stream.read_along(pipeline.clone());
+        stream.set_tap(pipeline.clone());
     }
     let service = service_fn(|request: Request<Incoming>| {
-        let (hub, probe, pipeline) = (hub.clone(), probe.clone(), pipeline.clone());
+        let (proxy, probe, pipeline) = (proxy.clone(), probe.clone(), pipeline.clone());
         let request = request.map(Either::Left);
         async move {
             Ok::<_, Infallible>(match door {
-                Door::Ready => ready::answer(&hub),
+                Door::Ready => ready::answer(&proxy),
                 Door::Callers => pipeline.answer(request).await,
-                Door::All | Door::Nodes => intake::handle(&hub, request, probe, door).await,
+                Door::All | Door::Nodes => intake::handle(&proxy, request, probe, door).await,
             })
         }
     });
--- a/crates/traffic/src/lib.rs
+++ b/crates/traffic/src/lib.rs
@@ -5,15 +5,15 @@
 //! platform or the messages between control threads. The headers in [`wire`] are an API border,
 //! towards callers and between nodes; the rest is not.
 
+mod admission;
 mod call;
 mod clock;
 mod entry;
-mod gate;
-mod hub;
+mod forward;
 mod intake;
-mod link;
 mod lock;
 mod net;
+mod proxy;
 mod record;
 mod routing;
 mod serving;
@@ -22,13 +22,13 @@
 
 pub use crate::{
     clock::Clock,
-    hub::{
-        Hub,
-        settings::{Settings, Tuning},
-    },
     intake::{
         Door,
         server::{Error, Listener},
     },
-    record::tally::Count,
+    proxy::{
+        Proxy,
+        settings::{Settings, Tuning},
+    },
+    record::events::Event,
 };
--- a/crates/traffic/src/link.rs
+++ /dev/null
@@ -1,4 +0,0 @@
-//! Offers between nodes.
-
-pub(crate) mod arrival;
-pub(crate) mod offer;
--- a/crates/traffic/src/net/body.rs
+++ b/crates/traffic/src/net/body.rs
@@ -9,17 +9,17 @@
 use std::{error::Error, time::Duration};
 
 /// The body of a request: as it comes, or none where the request was read along.
-pub(crate) type Inflow = Either<Incoming, Empty<Bytes>>;
+pub(crate) type Inbound = Either<Incoming, Empty<Bytes>>;
 
 /// Why a body was not taken.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Fault {
     /// It is larger than allowed.
-    Large,
+    TooLarge,
     /// It did not arrive in time.
-    Slow,
+    TimedOut,
     /// It broke off before its declared end.
-    Short,
+    Truncated,
 }
 
 /// Receives `body` whole.
@@ -33,14 +33,14 @@
 {
     let collected = tokio::time::timeout(time, Limited::new(body, limit).collect()).await;
     match collected {
-        Err(_) => Err(Fault::Slow),
+        Err(_) => Err(Fault::TimedOut),
         Ok(Ok(whole)) => Ok(whole.to_bytes()),
-        Ok(Err(e)) if e.is::<LengthLimitError>() => Err(Fault::Large),
-        Ok(Err(_)) => Err(Fault::Short),
+        Ok(Err(e)) if e.is::<LengthLimitError>() => Err(Fault::TooLarge),
+        Ok(Err(_)) => Err(Fault::Truncated),
     }
 }
 
 /// Returns the declared length of a body, if there is one.
-pub(crate) fn declared(headers: &hyper::HeaderMap) -> Option<usize> {
+pub(crate) fn declared_length(headers: &hyper::HeaderMap) -> Option<usize> {
     headers.get(header::CONTENT_LENGTH)?.to_str().ok()?.parse().ok()
 }
--- a/crates/traffic/src/net/pool.rs
+++ b/crates/traffic/src/net/pool.rs
@@ -23,15 +23,15 @@
 use crate::{
     clock::Clock,
     lock::lock,
-    net::stream::{Look, Probe, Stream},
+    net::stream::{Probe, SocketState, Stream},
     wire::Body,
 };
 
 /// Most idle connections kept to one address.
-const IDLE_LIMIT: usize = 64;
+const MAX_IDLE: usize = 64;
 
 /// Longest time for which an idle connection is kept at all.
-const IDLE_MOST: Duration = Duration::from_secs(60);
+const MAX_IDLE_TIME: Duration = Duration::from_secs(60);
 
 /// Connections by address.
 #[derive(Debug, Default)]
@@ -52,14 +52,14 @@
 pub(crate) struct Connection {
     sender: SendRequest<Body>,
     probe: Probe,
-    task: Closer,
+    task: TaskGuard,
 }
 
 /// Ends the task that drives a connection.
 #[derive(Debug)]
-struct Closer(AbortHandle);
+struct TaskGuard(AbortHandle);
 
-impl Drop for Closer {
+impl Drop for TaskGuard {
     fn drop(&mut self) {
         self.0.abort();
     }
@@ -67,7 +67,7 @@
 
 /// Why a request got no answer's head.
 #[derive(Debug)]
-pub(crate) enum Failure {
+pub(crate) enum SendError {
     /// Not one byte of it was written.
     Unsent,
     /// It may have been read.
@@ -76,18 +76,18 @@
 
 /// Why there is no connection.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Unopened {
+pub(crate) enum ConnectError {
     /// Nobody listens at the address.
     Refused,
     /// Somebody may.
     Failed,
 }
 
-impl Unopened {
+impl ConnectError {
     fn of(error: io::Error) -> Self {
         match error.kind() {
-            io::ErrorKind::ConnectionRefused => Unopened::Refused,
-            _ => Unopened::Failed,
+            io::ErrorKind::ConnectionRefused => ConnectError::Refused,
+            _ => ConnectError::Failed,
         }
     }
 }
@@ -118,16 +118,16 @@
         &self,
         address: SocketAddr,
         time: Duration,
-    ) -> Result<Connection, Unopened> {
+    ) -> Result<Connection, ConnectError> {
         let connected = timeout(time, Stream::connect(address)).await;
-        let stream = connected.map_err(|_| Unopened::Failed)?.map_err(Unopened::of)?;
+        let stream = connected.map_err(|_| ConnectError::Failed)?.map_err(ConnectError::of)?;
         let probe = stream.probe();
-        let (sender, driver) = http1::handshake(stream).await.map_err(|_| Unopened::Failed)?;
+        let (sender, driver) = http1::handshake(stream).await.map_err(|_| ConnectError::Failed)?;
         let task = tokio::spawn(async move {
             // An error ends the connection; the call on it learns of it by its own channel.
             let _ = driver.await;
         });
-        Ok(Connection { sender, probe, task: Closer(task.abort_handle()) })
+        Ok(Connection { sender, probe, task: TaskGuard(task.abort_handle()) })
     }
 
     /// Keeps a connection whose answer was received whole.
@@ -135,8 +135,8 @@
         let now = self.clock.now();
         let mut idle = self.lock();
         let kept = idle.entry(address).or_default();
-        kept.retain(|i| now.since(i.since) < IDLE_MOST);
-        if kept.len() < IDLE_LIMIT {
+        kept.retain(|i| now.since(i.since) < MAX_IDLE_TIME);
+        if kept.len() < MAX_IDLE {
             kept.push(Idle { connection, since: now });
         }
     }
@@ -145,15 +145,15 @@
     ///
     /// When a call on a kept connection gets no answer, whatever forgot that connection has most
     /// likely forgotten the others to the same place as well; only a new one proves the contrary.
-    pub(crate) fn forget(&self, address: SocketAddr) {
+    pub(crate) fn close_idle(&self, address: SocketAddr) {
         self.lock().remove(&address);
     }
 
     /// Closes connections that were idle for too long.
-    pub(crate) fn sweep(&self) {
+    pub(crate) fn remove_expired(&self) {
         let now = self.clock.now();
         self.lock().retain(|_, kept| {
-            kept.retain(|i| now.since(i.since) < IDLE_MOST && i.connection.is_usable());
+            kept.retain(|i| now.since(i.since) < MAX_IDLE_TIME && i.connection.is_usable());
             !kept.is_empty()
         });
     }
@@ -168,13 +168,13 @@
     pub(crate) async fn send(
         &mut self,
         request: Request<Full<bytes::Bytes>>,
-    ) -> Result<Response<Incoming>, Failure> {
+    ) -> Result<Response<Incoming>, SendError> {
         if self.sender.ready().await.is_err() {
-            return Err(Failure::Unsent);
+            return Err(SendError::Unsent);
         }
         self.sender.try_send_request(request).await.map_err(|mut e| {
             // The library hands the request back only if it has not begun to write it.
-            if e.take_message().is_some() { Failure::Unsent } else { Failure::Broken }
+            if e.take_message().is_some() { SendError::Unsent } else { SendError::Broken }
         })
     }
 
@@ -183,6 +183,8 @@
     /// Bytes that wait here belong to an earlier request, such as a doubled answer; the next
     /// request would take them for its own.
     fn is_usable(&self) -> bool {
-        !self.sender.is_closed() && !self.task.0.is_finished() && self.probe.look() == Look::Quiet
+        !self.sender.is_closed()
+            && !self.task.0.is_finished()
+            && self.probe.socket_state() == SocketState::Idle
     }
 }
--- a/crates/traffic/src/net/stream.rs
+++ b/crates/traffic/src/net/stream.rs
@@ -26,22 +26,22 @@
 ///
 /// Three retransmissions of a lost packet fit into it, so that a link that loses a few packets in a
 /// hundred cuts no connection.
-const UNANSWERED: Duration = Duration::from_secs(1);
+const ACK_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A stream for `hyper`.
 pub(crate) struct Stream {
     socket: Arc<TcpStream>,
     /// Who reads along.
-    reader: Option<Arc<dyn Reader>>,
+    tap: Option<Arc<dyn Tap>>,
 }
 
 /// Whoever reads along on a stream, and may read before its owner does.
-pub(crate) trait Reader: Send + Sync {
+pub(crate) trait Tap: Send + Sync {
     /// Reads along bytes that the owner is given.
-    fn feed(&self, bytes: &[u8]);
+    fn observe(&self, bytes: &[u8]);
 
     /// Returns up to `room` of the bytes that were read before the owner asked for them.
-    fn unread(&self, room: usize) -> Option<BytesMut>;
+    fn take_prefetched(&self, room: usize) -> Option<BytesMut>;
 }
 
 /// A look at a stream that somebody else reads and writes.
@@ -52,11 +52,11 @@
 
 /// What a look at a socket shows.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Look {
+pub(crate) enum SocketState {
     /// Open, with nothing to read.
-    Quiet,
+    Idle,
     /// Open, with bytes to read.
-    Pending,
+    Readable,
     /// Closed or broken by the other side.
     Closed,
 }
@@ -69,9 +69,9 @@
         // Something between the two ends can forget a connection, or a data centre is cut off:
         // bytes vanish without an error. Unanswered bytes and probes end the connection within
         // about a second, and the call on it learns that nobody is there.
-        socket.set_tcp_user_timeout(Some(UNANSWERED))?;
+        socket.set_tcp_user_timeout(Some(ACK_TIMEOUT))?;
         socket.set_tcp_keepalive(
-            &TcpKeepalive::new().with_time(UNANSWERED).with_interval(UNANSWERED),
+            &TcpKeepalive::new().with_time(ACK_TIMEOUT).with_interval(ACK_TIMEOUT),
         )?;
         Ok(stream)
     }
@@ -79,12 +79,12 @@
     /// Takes over an open socket.
     pub(crate) fn new(socket: TcpStream) -> io::Result<Stream> {
         socket.set_nodelay(true)?;
-        Ok(Stream { socket: Arc::new(socket), reader: None })
+        Ok(Stream { socket: Arc::new(socket), tap: None })
     }
 
-    /// Lets `reader` read along what comes from now on.
-    pub(crate) fn read_along(&mut self, reader: Arc<dyn Reader>) {
-        self.reader = Some(reader);
+    /// Lets `tap` read along what comes from now on.
+    pub(crate) fn set_tap(&mut self, tap: Arc<dyn Tap>) {
+        self.tap = Some(tap);
     }
 
     /// Ends the own side; the other side reads everything that was written and then the end.
@@ -129,13 +129,13 @@
     }
 
     /// Looks at the socket without reading from it.
-    pub(crate) fn look(&self) -> Look {
+    pub(crate) fn socket_state(&self) -> SocketState {
         let mut byte = [MaybeUninit::uninit()];
         match SockRef::from(&*self.socket).peek(&mut byte) {
-            Ok(0) => Look::Closed,
-            Ok(_) => Look::Pending,
-            Err(e) if e.kind() == io::ErrorKind::WouldBlock => Look::Quiet,
-            Err(_) => Look::Closed,
+            Ok(0) => SocketState::Closed,
+            Ok(_) => SocketState::Readable,
+            Err(e) if e.kind() == io::ErrorKind::WouldBlock => SocketState::Idle,
+            Err(_) => SocketState::Closed,
         }
     }
 }
@@ -148,7 +148,7 @@
     ) -> Poll<io::Result<()>> {
         let mut chunk = [0; CHUNK];
         let room = target.remaining().min(CHUNK);
-        if let Some(bytes) = self.reader.as_ref().and_then(|reader| reader.unread(room)) {
+        if let Some(bytes) = self.tap.as_ref().and_then(|tap| tap.take_prefetched(room)) {
             target.put_slice(&bytes);
             return Poll::Ready(Ok(()));
         }
@@ -157,8 +157,8 @@
             match self.socket.try_read(&mut chunk[..room]) {
                 Ok(count) => {
                     target.put_slice(&chunk[..count]);
-                    if let Some(reader) = &self.reader {
-                        reader.feed(&chunk[..count]);
+                    if let Some(tap) = &self.tap {
+                        tap.observe(&chunk[..count]);
                     }
                     return Poll::Ready(Ok(()));
                 }
--- a/crates/traffic/src/hub.rs
+++ b/crates/traffic/src/proxy.rs
@@ -1,14 +1,14 @@
 //! What all calls of a node share.
 
-pub(crate) mod ends;
+mod colocated;
+pub(crate) mod crashes;
 mod estimates;
 mod explain;
-mod own;
+pub(crate) mod in_flight;
+mod lifecycle;
 mod quarantine;
-pub(crate) mod room;
 pub(crate) mod services;
 pub(crate) mod settings;
-mod state;
 mod warmup;
 
 use arc_swap::ArcSwap;
@@ -30,74 +30,74 @@
 use telemetry::metric::Meter;
 
 use crate::{
+    admission::{running::Registry, semaphore::Semaphore, transfer::Transfers},
     clock::Clock,
-    gate::{running::Running, transfer::Transfers, turnstile::Turnstile},
-    hub::{
-        ends::Ends,
+    lock::lock,
+    net::pool::Pool,
+    proxy::{
+        crashes::Crashes,
         estimates::Estimates,
-        room::Held,
+        in_flight::Usage,
+        lifecycle::Lifecycle,
         services::Services,
         settings::{Settings, Tuning},
-        state::State,
     },
-    lock::lock,
-    net::pool::Pool,
-    record::{Log, tally::Tally},
+    record::{Log, events::Counters},
 };
 
 /// What all calls of a node share.
-pub struct Hub {
+pub struct Proxy {
     pub(crate) settings: Settings,
     pub(crate) clock: Clock,
     pub(crate) meter: Arc<Meter>,
     pub(crate) pool: Pool,
-    pub(crate) tally: Tally,
+    pub(crate) events: Counters,
     pub(crate) log: Log,
-    pub(crate) running: Running,
+    pub(crate) running: Registry,
     tuning: ArcSwap<Tuning>,
     config: ArcSwap<Snapshot>,
     /// Highest revision of the configuration that this node holds or is going to.
-    expected: AtomicU64,
+    expected_revision: AtomicU64,
     view: ArcSwap<View>,
     watch: Mutex<pause::Watch>,
     ids: AtomicU64,
-    pub(crate) state: State,
+    pub(crate) lifecycle: Lifecycle,
     pub(crate) services: Services,
     pub(crate) estimates: Estimates,
-    /// Ends of the own upstream.
-    pub(crate) ends: Ends,
+    /// Crashes of the own upstream.
+    pub(crate) crashes: Crashes,
     /// Requests that are not to be run.
     quarantine: ArcSwap<Quarantine>,
     /// The slots of the own upstream.
-    pub(crate) slots: Arc<Turnstile>,
+    pub(crate) slots: Arc<Semaphore>,
     /// Turns of large bodies on the own link.
     pub(crate) transfers: Transfers,
     splits: Mutex<HashMap<String, Split>>,
     /// Callers that were refused and may come back.
     refused: Mutex<comeback::Register>,
-    pub(crate) held: Held,
+    pub(crate) in_flight: Usage,
 }
 
-impl Hub {
+impl Proxy {
     /// Creates the shared state; nothing is in force and no upstream is known yet.
     pub fn new(settings: Settings, clock: Clock, meter: Arc<Meter>) -> Arc<Self> {
         let tuning = settings.tuning;
-        let slots = Turnstile::new(clock, settings.slots);
+        let slots = Semaphore::new(clock, settings.slots);
         let transfers = Transfers::new(clock, settings.link_mbps);
         let log = Log::new(clock);
-        let log = if settings.log { log.keep(&settings.instance) } else { log };
+        let log = if settings.log { log.enable(&settings.instance) } else { log };
         let watch = pause::Watch::new(settings.pause, clock.now());
-        Arc::new(Hub {
+        Arc::new(Proxy {
             settings,
             clock,
             meter,
             pool: Pool::default(),
-            tally: Tally::default(),
+            events: Counters::default(),
             log,
-            running: Running::default(),
+            running: Registry::default(),
             tuning: ArcSwap::from_pointee(tuning),
             config: ArcSwap::default(),
-            expected: AtomicU64::new(0),
+            expected_revision: AtomicU64::new(0),
             view: ArcSwap::default(),
             watch: Mutex::new(watch),
             ids: AtomicU64::new(1),
@@ -105,12 +105,12 @@
             transfers,
             services: Services::default(),
             estimates: Estimates::default(),
-            ends: Ends::default(),
+            crashes: Crashes::default(),
             quarantine: ArcSwap::default(),
-            state: State::default(),
+            lifecycle: Lifecycle::default(),
             splits: Mutex::default(),
             refused: Mutex::default(),
-            held: Held::default(),
+            in_flight: Usage::default(),
         })
     }
 
@@ -130,62 +130,62 @@
     }
 
     /// Takes note that `revision` is the highest that this node holds or is going to.
-    pub fn set_expected(&self, revision: u64) {
-        self.expected.store(revision, Ordering::Relaxed);
+    pub fn set_expected_revision(&self, revision: u64) {
+        self.expected_revision.store(revision, Ordering::Relaxed);
     }
 
     /// Returns the highest revision of the configuration that this node holds or is going to.
-    pub(crate) fn expected(&self) -> u64 {
-        self.expected.load(Ordering::Relaxed)
+    pub(crate) fn expected_revision(&self) -> u64 {
+        self.expected_revision.load(Ordering::Relaxed)
     }
 
     /// Routes to the upstreams of `view` from now on, and forgets what was seen of others.
     pub fn set_view(&self, view: Arc<View>) {
         let before = self.view.swap(view.clone());
         self.services.follow(&view, &before, self.clock.now());
-        if let Some(slots) = own::slots(&view, &self.settings) {
+        if let Some(slots) = colocated::slots(&view, &self.settings) {
             self.slots.resize(slots);
         }
-        if own::is_evacuated(&view, &self.settings) {
+        if colocated::is_evacuated(&view, &self.settings) {
             // What waits here goes to another data centre at once, not when its turn comes.
-            self.slots.turn_away();
+            self.slots.reject_waiting();
         }
-        if !own::is_same(&before, &view, &self.settings) {
+        if !colocated::is_same(&before, &view, &self.settings) {
             // Connections to a process that has ended carry nothing: a payment sent on one would
             // be lost, and nobody could say whether it was made.
-            self.pool.forget(self.settings.upstream);
+            self.pool.close_idle(self.settings.upstream);
         }
     }
 
     /// Tells whether `upstream` is the one beside this node.
-    pub(crate) fn is_own(&self, upstream: &Upstream) -> bool {
-        upstream.address == self.settings.own
+    pub(crate) fn is_colocated(&self, upstream: &Upstream) -> bool {
+        upstream.address == self.settings.address
     }
 
     /// Tells whether the upstream `identity` beside this node is known to have started again after
     /// `started_ms`.
     pub(crate) fn has_restarted(&self, identity: Option<&str>, started_ms: Option<u64>) -> bool {
-        own::has_restarted(&self.view.load(), &self.settings, identity, started_ms)
+        colocated::has_restarted(&self.view.load(), &self.settings, identity, started_ms)
     }
 
     /// Tells callers from now on whether they may send new work here.
-    pub fn set_open(&self, open: bool) {
-        self.state.set_open(open);
+    pub fn set_ready(&self, open: bool) {
+        self.lifecycle.set_ready(open);
     }
 
     /// Tells whether callers may send new work here.
-    pub fn is_open(&self) -> bool {
-        self.state.is_open()
+    pub fn is_ready(&self) -> bool {
+        self.lifecycle.is_ready()
     }
 
     /// Tells whether the upstream `identity` beside this node is known to take no more work.
     pub(crate) fn has_left(&self, identity: Option<&str>) -> bool {
-        own::has_left(&self.view.load(), &self.settings, identity)
+        colocated::has_left(&self.view.load(), &self.settings, identity)
     }
 
     /// Tells whether operators had the data centre of the own upstream evacuated.
     pub(crate) fn is_evacuated(&self) -> bool {
-        own::is_evacuated(&self.view.load(), &self.settings)
+        colocated::is_evacuated(&self.view.load(), &self.settings)
     }
 
     /// Returns the part of the split of the route `name` that its next call goes to.
@@ -197,7 +197,7 @@
         if !splits.contains_key(name) {
             splits.insert(name.to_owned(), Split::default());
         }
-        let offset = self.settings.offset;
+        let offset = self.settings.split_offset;
         splits.get_mut(name).expect("the split was just inserted").next(weights, offset)
     }
 
@@ -218,22 +218,22 @@
 
     /// Takes no more work for the own upstream.
     pub fn leave(&self) {
-        self.state.leave();
+        self.lifecycle.leave();
     }
 
     /// Takes no more calls of callers either: the process ends soon.
     pub fn close(&self) {
-        self.state.close();
+        self.lifecycle.close();
     }
 
     /// Tells whether the node takes no more work.
     pub fn is_leaving(&self) -> bool {
-        self.state.is_leaving()
+        self.lifecycle.is_leaving()
     }
 
     /// Returns the number of calls in hand, in either role.
-    pub fn in_hand(&self) -> usize {
-        self.held.in_hand()
+    pub fn calls_in_flight(&self) -> usize {
+        self.in_flight.total()
     }
 
     /// Returns the longest time that the profile of the own service grants for a planned stop.
@@ -244,17 +244,17 @@
     }
 
     /// Notes a beat of the thread that watches for pauses; returns the length of one that ended.
-    pub fn beat(&self) -> Option<Duration> {
+    pub fn tick_pause_detector(&self) -> Option<Duration> {
         lock(&self.watch).beat(self.clock.now())
     }
 
     /// Returns the counts of notable calls since the last time, and does small upkeep.
-    pub fn collect(&self) -> Vec<Kind> {
-        self.pool.sweep();
-        self.transfers.sweep(self.clock.now());
-        self.meter.in_hand(self.held.calls() as u64);
-        let mut events = self.tally.take();
-        events.extend(self.log.left_out());
+    pub fn collect_events(&self) -> Vec<Kind> {
+        self.pool.remove_expired();
+        self.transfers.remove_expired(self.clock.now());
+        self.meter.in_hand(self.in_flight.calls() as u64);
+        let mut events = self.events.take();
+        events.extend(self.log.take_dropped());
         events
     }
 
@@ -272,7 +272,7 @@
         self.ids.fetch_add(1, Ordering::Relaxed)
     }
 
-    pub(crate) fn in_doubt(&self, received: Time, now: Time) -> bool {
+    pub(crate) fn may_be_stale(&self, received: Time, now: Time) -> bool {
         lock(&self.watch).in_doubt(received, now)
     }
 }
--- a/crates/traffic/src/hub/own.rs
+++ b/crates/traffic/src/proxy/colocated.rs
@@ -5,7 +5,7 @@
     view::{Upstream, View},
 };
 
-use crate::hub::{services::is_same_life, settings::Settings};
+use crate::proxy::{services::is_same_incarnation, settings::Settings};
 
 /// Returns the entry of the own upstream, if it is listed.
 pub(crate) fn find<'a>(view: &'a View, settings: &'a Settings) -> Option<&'a Upstream> {
@@ -15,7 +15,7 @@
 /// Tells whether the own upstream is the same in two views, with the same life.
 pub(crate) fn is_same(before: &View, view: &View, settings: &Settings) -> bool {
     match (find(before, settings), find(view, settings)) {
-        (Some(a), Some(b)) => is_same_life(a, b),
+        (Some(a), Some(b)) => is_same_incarnation(a, b),
         (None, None) => true,
         _ => false,
     }
@@ -44,7 +44,7 @@
     identity: Option<&str>,
     started_ms: Option<u64>,
 ) -> bool {
-    let mut own = view.iter().filter(|(_, u)| u.address == settings.own);
+    let mut own = view.iter().filter(|(_, u)| u.address == settings.address);
     started_ms.is_some()
         && own.any(|(_, u)| u.identity.as_deref() == identity && u.started_ms > started_ms)
 }
@@ -54,5 +54,5 @@
     view: &'a View,
     settings: &'a Settings,
 ) -> impl Iterator<Item = &'a Upstream> {
-    view.upstreams(&settings.service).iter().filter(|u| u.address == settings.own)
+    view.upstreams(&settings.service).iter().filter(|u| u.address == settings.address)
 }
--- a/crates/traffic/src/hub/ends.rs
+++ b/crates/traffic/src/proxy/crashes.rs
@@ -1,4 +1,4 @@
-//! Ends of the own upstream, and the requests that ran then.
+//! Crashes of the own upstream, and the requests that ran then.
 
 use fleet::quarantine::{End, Loss};
 use model::{
@@ -15,34 +15,34 @@
 
 /// What is known of the own upstream's ends.
 #[derive(Debug, Default)]
-pub(crate) struct Ends {
+pub(crate) struct Crashes {
     runs: Mutex<Runs>,
     /// Whether somebody finds out whether the upstream has ended.
-    looking: AtomicBool,
+    probing: AtomicBool,
     /// The end of the present process, once it is found.
     ///
     /// Calls that broke with a process are not all read in the same moment. Those that come after the others
     /// belong to the same end, or one process would count as several.
-    present: Mutex<Option<End>>,
-    /// Ends that control has not taken yet.
+    current: Mutex<Option<End>>,
+    /// Crashes that control has not taken yet.
     found: Mutex<Vec<Loss>>,
     /// Suspected requests that were answered, which control has not taken yet.
     cleared: Mutex<Vec<Fingerprint>>,
 }
 
-impl Ends {
+impl Crashes {
     /// Notes that a process listens at the upstream's address.
-    pub(crate) fn see_alive(&self) {
-        *lock(&self.present) = None;
+    pub(crate) fn mark_alive(&self) {
+        *lock(&self.current) = None;
     }
 
     /// Notes that the upstream answered a call.
-    pub(crate) fn answer(&self, request: Fingerprint, now: Time) {
+    pub(crate) fn record_answer(&self, request: Fingerprint, now: Time) {
         lock(&self.runs).answer(request, now);
     }
 
     /// Notes that a call to the upstream was lost.
-    pub(crate) fn lose(&self, suspect: Suspect, loss: suspects::Loss, now: Time) {
+    pub(crate) fn record_loss(&self, suspect: Suspect, loss: suspects::Loss, now: Time) {
         lock(&self.runs).lose(suspect, loss, now);
     }
 
@@ -52,26 +52,26 @@
     }
 
     /// Tells whether any call to the upstream was lost lately.
-    pub(crate) fn has_lost(&self, now: Time) -> bool {
+    pub(crate) fn has_recent_loss(&self, now: Time) -> bool {
         lock(&self.runs).has_lost(now)
     }
 
     /// Returns whether nobody else looks whether the upstream has ended.
-    pub(crate) fn begin_look(&self) -> bool {
-        !self.looking.swap(true, Ordering::SeqCst)
+    pub(crate) fn begin_probe(&self) -> bool {
+        !self.probing.swap(true, Ordering::SeqCst)
     }
 
     /// Notes what a look has shown.
-    pub(crate) fn end_look(&self, has_ended: bool, now: Time) {
-        self.looking.store(false, Ordering::SeqCst);
+    pub(crate) fn finish_probe(&self, has_ended: bool, now: Time) {
+        self.probing.store(false, Ordering::SeqCst);
         let mut runs = lock(&self.runs);
         if !has_ended {
-            self.see_alive();
+            self.mark_alive();
             return runs.survive();
         }
         let suspects = runs.end(now);
         if !suspects.is_empty() {
-            let end = *lock(&self.present).get_or_insert_with(|| End(rand::random()));
+            let end = *lock(&self.current).get_or_insert_with(|| End(rand::random()));
             lock(&self.found).push(Loss { end, suspects });
         }
     }
@@ -92,7 +92,7 @@
     }
 
     /// Takes the ends that were found since the last time.
-    pub(crate) fn take(&self) -> Vec<Loss> {
+    pub(crate) fn take_found(&self) -> Vec<Loss> {
         std::mem::take(&mut *lock(&self.found))
     }
 }
--- a/crates/traffic/src/hub/estimates.rs
+++ b/crates/traffic/src/proxy/estimates.rs
@@ -6,7 +6,7 @@
 use crate::lock::lock;
 
 /// Most routes whose answers are remembered, some 100 bytes each; of others nothing is known.
-const ROUTES_MOST: usize = 8_192;
+const MAX_ROUTES: usize = 8_192;
 
 /// Estimates by route, or by service where there are no routes.
 #[derive(Default)]
@@ -33,7 +33,7 @@
 
     /// Notes that a call of `route` to `service` was answered after `time` with `bytes`; returns the
     /// time that such calls took before.
-    pub(crate) fn note(
+    pub(crate) fn record(
         &self,
         service: &str,
         route: &str,
@@ -48,7 +48,7 @@
             answers.size.note(bytes);
             return Some(before);
         }
-        if routes.len() < ROUTES_MOST {
+        if routes.len() < MAX_ROUTES {
             let first = Answers { latency: Estimate::new(time), size: Size::new(bytes) };
             routes.insert(key.to_owned(), first);
         }
--- a/crates/traffic/src/hub/explain.rs
+++ b/crates/traffic/src/proxy/explain.rs
@@ -2,9 +2,9 @@
 
 use fleet::{member::State, status::Candidate};
 
-use crate::hub::Hub;
+use crate::proxy::Proxy;
 
-impl Hub {
+impl Proxy {
     /// Explains every known upstream of `service`.
     pub fn explain(&self, service: &str) -> Vec<Candidate> {
         let view = self.view();
--- a/crates/traffic/src/hub/room.rs
+++ b/crates/traffic/src/proxy/in_flight.rs
@@ -1,15 +1,15 @@
 //! What a node holds at once: calls, and bytes of their bodies.
 //!
-//! Without a bound, a service whose upstreams hang fills the node until nothing else finds room.
+//! Without a bound, a service whose upstreams hang fills the node until nothing else finds capacity.
 
 use policy::share::Room;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use crate::hub::services::Services;
+use crate::proxy::services::Services;
 
 /// Counts of what is in hand.
 #[derive(Debug, Default)]
-pub(crate) struct Held {
+pub(crate) struct Usage {
     /// Calls as entry node.
     calls: AtomicUsize,
     /// Calls as serving node.
@@ -18,35 +18,35 @@
     bytes: AtomicUsize,
 }
 
-impl Held {
+impl Usage {
     /// Returns the number of calls in hand as entry node.
     pub(crate) fn calls(&self) -> usize {
         self.calls.load(Ordering::SeqCst)
     }
 
     /// Returns the number of calls in hand, in either role.
-    pub(crate) fn in_hand(&self) -> usize {
+    pub(crate) fn total(&self) -> usize {
         self.calls() + self.offers.load(Ordering::SeqCst)
     }
 }
 
 /// Bytes of bodies reserved in the node's room; given back when dropped.
 pub(crate) struct Reservation<'a> {
-    held: &'a Held,
+    usage: &'a Usage,
     bytes: usize,
 }
 
 impl<'a> Reservation<'a> {
-    pub(crate) fn new(held: &'a Held) -> Self {
-        Reservation { held, bytes: 0 }
+    pub(crate) fn new(usage: &'a Usage) -> Self {
+        Reservation { usage, bytes: 0 }
     }
 
     /// Reserves `more` bytes of `room`; returns whether they fit.
-    pub(crate) fn extend(&mut self, more: usize, room: Room) -> bool {
-        if !room.fits(self.held.bytes.load(Ordering::SeqCst), more) {
+    pub(crate) fn extend(&mut self, more: usize, capacity: Room) -> bool {
+        if !capacity.fits(self.usage.bytes.load(Ordering::SeqCst), more) {
             return false;
         }
-        self.held.bytes.fetch_add(more, Ordering::SeqCst);
+        self.usage.bytes.fetch_add(more, Ordering::SeqCst);
         self.bytes += more;
         true
     }
@@ -54,60 +54,60 @@
 
 impl Drop for Reservation<'_> {
     fn drop(&mut self) {
-        self.held.bytes.fetch_sub(self.bytes, Ordering::SeqCst);
+        self.usage.bytes.fetch_sub(self.bytes, Ordering::SeqCst);
     }
 }
 
 /// A call to a service in hand; given back when dropped.
-pub(crate) struct Hand<'a> {
-    held: &'a Held,
+pub(crate) struct CallGuard<'a> {
+    usage: &'a Usage,
     services: &'a Services,
     service: &'a str,
 }
 
-impl<'a> Hand<'a> {
+impl<'a> CallGuard<'a> {
     /// Takes a call to `service` into `room`; none where it is full.
     pub(crate) fn take(
-        held: &'a Held,
+        usage: &'a Usage,
         services: &'a Services,
         service: &'a str,
-        room: Room,
+        capacity: Room,
     ) -> Option<Self> {
-        let total = held.calls();
+        let total = usage.calls();
         let admitted = services.with(service, |s| {
-            let admits = room.admits(s.in_hand, total);
-            s.in_hand += usize::from(admits);
+            let admits = capacity.admits(s.in_flight, total);
+            s.in_flight += usize::from(admits);
             admits
         });
         if !admitted {
             return None;
         }
-        held.calls.fetch_add(1, Ordering::SeqCst);
-        Some(Hand { held, services, service })
+        usage.calls.fetch_add(1, Ordering::SeqCst);
+        Some(CallGuard { usage, services, service })
     }
 }
 
-impl Drop for Hand<'_> {
+impl Drop for CallGuard<'_> {
     fn drop(&mut self) {
-        self.held.calls.fetch_sub(1, Ordering::SeqCst);
-        self.services.with(self.service, |s| s.in_hand -= 1);
+        self.usage.calls.fetch_sub(1, Ordering::SeqCst);
+        self.services.with(self.service, |s| s.in_flight -= 1);
     }
 }
 
 /// A call that is offered to the own upstream, counted as in hand until this is dropped.
-pub(crate) struct Offered<'a> {
-    held: &'a Held,
+pub(crate) struct OfferGuard<'a> {
+    usage: &'a Usage,
 }
 
-impl<'a> Offered<'a> {
-    pub(crate) fn new(held: &'a Held) -> Self {
-        held.offers.fetch_add(1, Ordering::SeqCst);
-        Offered { held }
+impl<'a> OfferGuard<'a> {
+    pub(crate) fn new(usage: &'a Usage) -> Self {
+        usage.offers.fetch_add(1, Ordering::SeqCst);
+        OfferGuard { usage }
     }
 }
 
-impl Drop for Offered<'_> {
+impl Drop for OfferGuard<'_> {
     fn drop(&mut self) {
-        self.held.offers.fetch_sub(1, Ordering::SeqCst);
+        self.usage.offers.fetch_sub(1, Ordering::SeqCst);
     }
 }
--- a/crates/traffic/src/hub/state.rs
+++ b/crates/traffic/src/proxy/lifecycle.rs
@@ -4,29 +4,29 @@
 
 /// Which work the node takes.
 #[derive(Debug, Default)]
-pub(crate) struct State {
+pub(crate) struct Lifecycle {
     /// Whether callers may send new work here.
-    open: AtomicBool,
-    opened: AtomicBool,
+    ready: AtomicBool,
+    was_ready_once: AtomicBool,
     leaving: AtomicBool,
     closed: AtomicBool,
 }
 
-impl State {
+impl Lifecycle {
     /// Tells callers from now on whether they may send new work here.
-    pub(crate) fn set_open(&self, open: bool) {
-        self.open.store(open, Ordering::SeqCst);
-        self.opened.fetch_or(open, Ordering::SeqCst);
+    pub(crate) fn set_ready(&self, ready: bool) {
+        self.ready.store(ready, Ordering::SeqCst);
+        self.was_ready_once.fetch_or(ready, Ordering::SeqCst);
     }
 
     /// Tells whether callers may send new work here.
-    pub(crate) fn is_open(&self) -> bool {
-        self.open.load(Ordering::SeqCst)
+    pub(crate) fn is_ready(&self) -> bool {
+        self.ready.load(Ordering::SeqCst)
     }
 
     /// Tells whether callers were ever told that they may send new work here.
-    pub(crate) fn was_open(&self) -> bool {
-        self.opened.load(Ordering::SeqCst)
+    pub(crate) fn was_ready(&self) -> bool {
+        self.was_ready_once.load(Ordering::SeqCst)
     }
 
     /// Takes no more work for the own upstream.
--- a/crates/traffic/src/hub/quarantine.rs
+++ b/crates/traffic/src/proxy/quarantine.rs
@@ -5,38 +5,38 @@
 use policy::outcome::{Cause, Outcome};
 use std::sync::Arc;
 
-use crate::{call::Payload, hub::Hub};
+use crate::{call::Payload, proxy::Proxy};
 
-impl Hub {
+impl Proxy {
     /// Does not run what is in `quarantine` from now on.
     pub fn set_quarantine(&self, quarantine: Arc<Quarantine>) {
         let before = self.quarantine.swap(quarantine.clone());
         let now = self.clock.now();
         for request in quarantine.suspects.difference(&before.suspects) {
             // Others may suspect what was answered here a moment ago.
-            if self.ends.was_answered(*request, now) {
-                self.ends.clear(*request);
+            if self.crashes.was_answered(*request, now) {
+                self.crashes.clear(*request);
             }
         }
     }
 
     /// Takes the ends of the own upstream that were found since the last time, with what ran at each.
-    pub fn take_ends(&self) -> Vec<Loss> {
-        let ends = self.ends.take();
+    pub fn take_crashes(&self) -> Vec<Loss> {
+        let ends = self.crashes.take_found();
         ends.iter().for_each(|_| self.meter.upstream_end());
         ends
     }
 
     /// Takes the suspected requests that the own upstream answered since the last time.
     pub fn take_cleared(&self) -> Vec<Fingerprint> {
-        self.ends.take_cleared()
+        self.crashes.take_cleared()
     }
 
     /// Notes that the own upstream answered a request, and did not fail at it.
     pub(crate) fn note_answered(&self, request: Fingerprint) {
-        self.ends.answer(request, self.clock.now());
+        self.crashes.record_answer(request, self.clock.now());
         if self.quarantine.load().suspects.contains(&request) {
-            self.ends.clear(request);
+            self.crashes.clear(request);
         }
     }
 
--- a/crates/traffic/src/hub/services.rs
+++ b/crates/traffic/src/proxy/services.rs
@@ -33,7 +33,9 @@
         let mut services = lock(&self.known);
         for (name, service) in services.iter_mut() {
             let known = view.upstreams(name);
-            let is_known = |known_life: &Life| known.iter().any(|u| Life::of(u) == *known_life);
+            let is_known = |known_incarnation: &Incarnation| {
+                known.iter().any(|u| Incarnation::of(u) == *known_incarnation)
+            };
             service.upstreams.retain(|life, record| is_known(life) || record.in_flight() > 0);
         }
         // Slow start counts from the moment at which an upstream becomes known, not from its
@@ -54,8 +56,8 @@
 pub(crate) struct Service {
     pub(crate) budget: Budget,
     pub(crate) window: budget::Window,
-    pub(crate) in_hand: usize,
-    upstreams: HashMap<Life, Record>,
+    pub(crate) in_flight: usize,
+    upstreams: HashMap<Incarnation, Record>,
 }
 
 /// One life of one upstream.
@@ -63,10 +65,10 @@
 /// Nothing that was seen of a former life holds for this one: it may be slow again after its start,
 /// and calls that hang or failures that were counted ended with the process.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-struct Life {
+struct Incarnation {
     /// Address of its node.
     address: SocketAddr,
-    /// Life of the node, where the upstream has no identity of its own; 0 otherwise.
+    /// Incarnation of the node, where the upstream has no identity of its own; 0 otherwise.
     incarnation: u64,
     identity: Option<Arc<str>>,
     /// Start of a life, in ms of Unix time: an upstream may start again under its identity.
@@ -75,9 +77,9 @@
 
 /// Tells whether two entries are of the same life of the same upstream, whatever else they say.
 ///
-/// The same as comparing their [`Life`], without making it: every choice compares every upstream
+/// The same as comparing their [`Incarnation`], without making it: every choice compares every upstream
 /// with those that the call was offered to.
-pub(crate) fn is_same_life(a: &Upstream, b: &Upstream) -> bool {
+pub(crate) fn is_same_incarnation(a: &Upstream, b: &Upstream) -> bool {
     let is_same_node = a.identity.is_some() || a.incarnation == b.incarnation;
     a.address == b.address
         && a.identity == b.identity
@@ -87,15 +89,15 @@
 
 /// Tells whether an upstream's node is within reach again, or in a new life.
 fn has_returned(upstream: &Upstream, before: &[Upstream]) -> bool {
-    let known = before.iter().find(|u| is_same_life(u, upstream));
+    let known = before.iter().find(|u| is_same_incarnation(u, upstream));
     let changed =
         known.is_some_and(|u| u.incarnation != upstream.incarnation || !u.state.takes_work());
     upstream.state.takes_work() && changed
 }
 
-impl Life {
-    fn of(upstream: &Upstream) -> Life {
-        Life {
+impl Incarnation {
+    fn of(upstream: &Upstream) -> Incarnation {
+        Incarnation {
             address: upstream.address,
             incarnation: if upstream.identity.is_some() { 0 } else { upstream.incarnation },
             identity: upstream.identity.clone(),
@@ -107,11 +109,11 @@
 impl Service {
     /// Returns the observations of `upstream`, begun now if there are none.
     pub(crate) fn record(&mut self, upstream: &Upstream, now: Time) -> &mut Record {
-        self.upstreams.entry(Life::of(upstream)).or_insert_with(|| Record::new(now))
+        self.upstreams.entry(Incarnation::of(upstream)).or_insert_with(|| Record::new(now))
     }
 
     /// Returns the observations of `upstream`, if there are any.
     pub(crate) fn seen(&self, upstream: &Upstream) -> Option<&Record> {
-        self.upstreams.get(&Life::of(upstream))
+        self.upstreams.get(&Incarnation::of(upstream))
     }
 }
--- a/crates/traffic/src/hub/settings.rs
+++ b/crates/traffic/src/proxy/settings.rs
@@ -9,8 +9,8 @@
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The node's address for messages between nodes, by which views name it.
-    pub own: SocketAddr,
-    /// Life of the node, which offers must name; none where the platform's list names upstreams
+    pub address: SocketAddr,
+    /// Incarnation of the node, which offers must name; none where the platform's list names upstreams
     /// by identities that they confirm themselves.
     pub incarnation: Option<u64>,
     /// Service of its upstream.
@@ -20,11 +20,11 @@
     /// Calls that the upstream can work on at once, until the list tells it.
     pub slots: usize,
     /// Where the sequence of each split begins; random, so that nodes begin at different parts.
-    pub offset: u64,
+    pub split_offset: u64,
     /// What may change while the process runs.
     pub tuning: Tuning,
     /// Most connections from callers and other nodes.
-    pub connections: usize,
+    pub max_connections: usize,
     /// How pauses of the process are found.
     pub pause: pause::Settings,
     /// The platform's name of the instance, in log lines.
@@ -41,9 +41,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tuning {
     /// Room for calls in hand.
-    pub room: Room,
+    pub capacity: Room,
     /// Longest time for opening a connection.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// Bound on repeated calls of the whole fleet; none where profiles bound each node's.
     pub budget: Option<budget::Settings>,
     /// How far calls to a cold upstream may exceed what it bears.
@@ -53,8 +53,8 @@
 impl Default for Tuning {
     fn default() -> Self {
         Tuning {
-            room: Room::default(),
-            connect: Duration::from_millis(250),
+            capacity: Room::default(),
+            connect_timeout: Duration::from_millis(250),
             budget: None,
             cold_excess: Excess::default(),
         }
@@ -66,14 +66,14 @@
     fn default() -> Self {
         let nowhere = SocketAddr::new(std::net::Ipv4Addr::UNSPECIFIED.into(), 0);
         Settings {
-            own: nowhere,
+            address: nowhere,
             incarnation: None,
             service: String::new(),
             upstream: nowhere,
             slots: 10,
-            offset: 0,
+            split_offset: 0,
             tuning: Tuning::default(),
-            connections: 1_024,
+            max_connections: 1_024,
             pause: pause::Settings::default(),
             instance: String::new(),
             log: false,
--- a/crates/traffic/src/hub/warmup.rs
+++ b/crates/traffic/src/proxy/warmup.rs
@@ -4,9 +4,9 @@
 use model::{service::WarmUp, time::Time};
 use policy::warmup::Limit;
 
-use crate::hub::{Hub, own};
+use crate::proxy::{Proxy, colocated};
 
-impl Hub {
+impl Proxy {
     /// Returns what cold upstreams of `service` bear, where that is limited.
     pub(crate) fn warm_up(&self, service: &str) -> Option<WarmUp> {
         self.config.load().service(service)?.warm_up
@@ -22,13 +22,13 @@
     pub(crate) fn refresh_warm_up(&self) {
         let now = self.clock.now();
         let warm_up = self.warm_up(&self.settings.service);
-        let limit = warm_up.and_then(|warm_up| self.own_limit(warm_up, now));
+        let limit = warm_up.and_then(|warm_up| self.colocated_limit(warm_up, now));
         self.slots.set_warm_up(limit, now);
     }
 
-    fn own_limit(&self, warm_up: WarmUp, now: Time) -> Option<Limit> {
+    fn colocated_limit(&self, warm_up: WarmUp, now: Time) -> Option<Limit> {
         let view = self.view.load();
-        let entries = own::entries(&view, &self.settings);
+        let entries = colocated::entries(&view, &self.settings);
         let limits = entries.filter_map(|upstream| self.limit(warm_up, upstream, now));
         limits.max_by_key(|limit| limit.until)
     }
--- a/crates/traffic/src/record.rs
+++ b/crates/traffic/src/record.rs
@@ -4,7 +4,7 @@
 //! whole; of the others one in [`SAMPLE`] is, chosen by the request's id, so that all nodes choose
 //! the same ones. What exceeds the bound is counted, and the count is logged.
 
-pub(crate) mod tally;
+pub(crate) mod events;
 
 use fleet::timeline::Kind;
 use model::time::Time;
@@ -42,16 +42,16 @@
 
 /// The steps of one request at one node.
 #[derive(Debug)]
-pub(crate) struct Trail {
+pub(crate) struct Trace {
     id: String,
     /// When an answer becomes late.
     due: OnceLock<Time>,
     steps: Mutex<Vec<(Time, Step)>>,
 }
 
-impl Trail {
+impl Trace {
     pub(crate) fn new(id: String) -> Self {
-        Trail { id, due: OnceLock::new(), steps: Mutex::default() }
+        Trace { id, due: OnceLock::new(), steps: Mutex::default() }
     }
 
     /// Returns the request's id.
@@ -83,7 +83,7 @@
     /// Logs the steps, if the request matters enough and the bound allows it.
     pub(crate) fn write(&self, log: &Log, interest: Interest) {
         let steps = std::mem::take(&mut *self.lock());
-        if !log.is_kept || !log.admits(&self.id, interest, steps.len()) {
+        if !log.is_enabled || !log.admits(&self.id, interest, steps.len()) {
             return;
         }
         let now = log.clock.now();
@@ -107,10 +107,10 @@
     /// The platform's name of the instance.
     instance: String,
     /// Whether requests are logged.
-    is_kept: bool,
-    notable: Mutex<Allowance>,
-    usual: Mutex<Allowance>,
-    left_out: AtomicU64,
+    is_enabled: bool,
+    notable: Mutex<Window>,
+    usual: Mutex<Window>,
+    dropped: AtomicU64,
 }
 
 impl Log {
@@ -119,16 +119,16 @@
         Log {
             clock,
             instance: String::new(),
-            is_kept: false,
+            is_enabled: false,
             notable: Mutex::default(),
             usual: Mutex::default(),
-            left_out: AtomicU64::new(0),
+            dropped: AtomicU64::new(0),
         }
     }
 
     /// Writes requests from now on, as lines of `instance`.
-    pub(crate) fn keep(self, instance: &str) -> Self {
-        Log { instance: instance.to_owned(), is_kept: true, ..self }
+    pub(crate) fn enable(self, instance: &str) -> Self {
+        Log { instance: instance.to_owned(), is_enabled: true, ..self }
     }
 
     fn admits(&self, id: &str, interest: Interest, lines: usize) -> bool {
@@ -140,29 +140,29 @@
         let mut allowance = lock(allowance);
         let admitted = allowance.take(lines as u32, limit, self.clock.now());
         if !admitted {
-            self.left_out.fetch_add(lines as u64, Ordering::Relaxed);
+            self.dropped.fetch_add(lines as u64, Ordering::Relaxed);
         }
         admitted
     }
 
     /// Returns the event that tells what was left out since the last call, if anything was.
-    pub(crate) fn left_out(&self) -> Option<Kind> {
-        let count = self.left_out.swap(0, Ordering::Relaxed);
+    pub(crate) fn take_dropped(&self) -> Option<Kind> {
+        let count = self.dropped.swap(0, Ordering::Relaxed);
         (count > 0).then_some(Kind::LinesLeftOut { count })
     }
 }
 
 /// Lines written in the present second.
 #[derive(Clone, Copy, Debug, Default)]
-struct Allowance {
+struct Window {
     since: Time,
     used: u32,
 }
 
-impl Allowance {
+impl Window {
     fn take(&mut self, lines: u32, limit: u32, now: Time) -> bool {
         if now.since(self.since) >= Duration::from_secs(1) {
-            *self = Allowance { since: now, used: 0 };
+            *self = Window { since: now, used: 0 };
         }
         let admitted = self.used + lines <= limit;
         self.used += if admitted { lines } else { 0 };
--- a/crates/traffic/src/record/tally.rs
+++ b/crates/traffic/src/record/events.rs
@@ -14,7 +14,7 @@
 
 /// Something that is counted.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub enum Count {
+pub enum Event {
     /// A call to a service was not run.
     NotRun(String, Cause),
     /// The outcome of a call to a service is unknown.
@@ -29,12 +29,12 @@
 
 /// The counts.
 #[derive(Debug, Default)]
-pub(crate) struct Tally {
-    counts: Mutex<HashMap<Count, u64>>,
+pub(crate) struct Counters {
+    counts: Mutex<HashMap<Event, u64>>,
 }
 
-impl Tally {
-    pub(crate) fn add(&self, count: Count) {
+impl Counters {
+    pub(crate) fn add(&self, count: Event) {
         let mut counts = lock(&self.counts);
         if counts.len() < KINDS_LIMIT || counts.contains_key(&count) {
             *counts.entry(count).or_default() += 1;
@@ -48,16 +48,16 @@
     }
 }
 
-fn event(what: Count, count: u64) -> Kind {
+fn event(what: Event, count: u64) -> Kind {
     match what {
-        Count::NotRun(service, cause) => Kind::NotRun { service, cause: cause.to_string(), count },
-        Count::Unknown(service, doubt) => {
+        Event::NotRun(service, cause) => Kind::NotRun { service, cause: cause.to_string(), count },
+        Event::Unknown(service, doubt) => {
             Kind::Unknown { service, doubt: doubt.to_string(), count }
         }
-        Count::Retried(service, peer, reason) => {
+        Event::Retried(service, peer, reason) => {
             Kind::Retried { service, peer, reason: reason.to_owned(), count }
         }
-        Count::Slow(service, peer) => Kind::Slow { service, peer, count },
-        Count::Ejected(service, peer) => Kind::Ejected { service, peer },
+        Event::Slow(service, peer) => Kind::Slow { service, peer, count },
+        Event::Ejected(service, peer) => Kind::Ejected { service, peer },
     }
 }
--- a/crates/traffic/src/routing/returning.rs
+++ b/crates/traffic/src/routing/returning.rs
@@ -7,7 +7,7 @@
 use xxhash_rust::xxh3::Xxh3;
 
 use crate::{
-    hub::Hub,
+    proxy::Proxy,
     wire::{self, header_text},
 };
 
@@ -26,7 +26,7 @@
 /// Returns whose attempt a request is that arrived at `received`, with `remaining` left to its
 /// caller.
 pub(crate) fn identify(
-    hub: &Hub,
+    proxy: &Proxy,
     method: &Method,
     target: &Uri,
     headers: &HeaderMap,
@@ -34,21 +34,21 @@
     remaining: Duration,
 ) -> Caller {
     let fingerprint = fingerprint(method, target, headers);
-    let (attempt, begun) = hub.with_refused(|refused| refused.take(fingerprint, received));
+    let (attempt, begun) = proxy.with_refused(|refused| refused.take(fingerprint, received));
     Caller { fingerprint, attempt, begun, until: received + remaining }
 }
 
 /// Notes a caller who was told something after which it may ask again.
-pub(crate) fn note(hub: &Hub, caller: Caller, response: &Response<wire::Body>) {
+pub(crate) fn note(proxy: &Proxy, caller: Caller, response: &Response<wire::Body>) {
     if !response.status().is_server_error() {
         return;
     }
     let asked = header_text(response.headers(), wire::RETRY_AFTER_MS);
     let after =
         asked.and_then(|text| text.parse().ok()).map_or(Duration::ZERO, Duration::from_millis);
-    let now = hub.clock.now();
+    let now = proxy.clock.now();
     let Caller { fingerprint, begun, until, .. } = caller;
-    hub.with_refused(|refused| refused.note(fingerprint, begun, now, after, until));
+    proxy.with_refused(|refused| refused.note(fingerprint, begun, now, after, until));
 }
 
 fn fingerprint(method: &Method, target: &Uri, headers: &HeaderMap) -> Fingerprint {
--- a/crates/traffic/src/routing/schedule.rs
+++ b/crates/traffic/src/routing/schedule.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use crate::{
-    hub::Hub,
+    proxy::Proxy,
     routing::{
         returning::{self, Caller},
         target::Target,
@@ -33,41 +33,41 @@
     }
 
     /// Returns by when a large body must begin to cross, if the route names an objective.
-    pub(crate) fn turn_by(&self) -> Option<Time> {
+    pub(crate) fn transfer_by(&self) -> Option<Time> {
         self.clock.map(transfer::start_by)
     }
 }
 
 /// Reads the time of the call `id` from its head.
 pub(crate) fn read(
-    hub: &Hub,
+    proxy: &Proxy,
     head: &Parts,
     target: &Target<'_>,
     id: &str,
     received: Time,
 ) -> Result<Schedule, wire::Malformed> {
-    let remaining = wire::read_number(&head.headers, hub.settings.names.deadline.clone())?;
-    let deadline = claim::deadline(received, remaining, target.terms.timeout_ms);
+    let remaining = wire::read_number(&head.headers, proxy.settings.names.deadline.clone())?;
+    let deadline = claim::deadline(received, remaining, target.options.timeout_ms);
     let left = remaining.map_or(deadline.since(received), Duration::from_millis);
-    let caller = returning::identify(hub, &head.method, &head.uri, &head.headers, received, left);
-    let clock = clock(hub, target, caller, received, deadline);
-    let work = hub.running.parent_of(id);
+    let caller = returning::identify(proxy, &head.method, &head.uri, &head.headers, received, left);
+    let clock = clock(proxy, target, caller, received, deadline);
+    let work = proxy.running.parent_of(id);
     let origin = work.map_or(urgency::Origin::Caller, urgency::Origin::Upstream);
     let rank = clock
-        .map_or_else(Rank::default, |clock| urgency::rank(origin, target.terms.priority, clock));
+        .map_or_else(Rank::default, |clock| urgency::rank(origin, target.options.priority, clock));
     Ok(Schedule { received, deadline, caller, clock, origin, rank })
 }
 
 /// Returns what is known of the time of a call whose route names an objective.
 fn clock(
-    hub: &Hub,
+    proxy: &Proxy,
     target: &Target<'_>,
     caller: Caller,
     received: Time,
     deadline: Time,
 ) -> Option<urgency::Clock> {
-    let objective = Duration::from_millis(target.terms.objective_ms?);
-    let latency = hub.estimates.latency(target.service, &target.terms.route);
+    let objective = Duration::from_millis(target.options.objective_ms?);
+    let latency = proxy.estimates.latency(target.service, &target.options.route);
     Some(urgency::Clock {
         received,
         deadline,
--- a/crates/traffic/src/routing/target.rs
+++ b/crates/traffic/src/routing/target.rs
@@ -5,33 +5,33 @@
 use policy::{outcome::Cause, retry::Kind};
 
 use crate::{
-    call::Terms,
-    hub::Hub,
-    net::body::Inflow,
+    call::Options,
+    net::body::Inbound,
+    proxy::Proxy,
     wire::{self, header_text},
 };
 
 /// Finds where a call goes: by the routes of the configuration if it has any, else by the name of
 /// a service.
 pub(crate) fn find<'a>(
-    hub: &Hub,
+    proxy: &Proxy,
     config: &'a Snapshot,
-    request: &Request<Inflow>,
+    request: &Request<Inbound>,
 ) -> Result<Target<'a>, Cause> {
-    if hub.state.is_closed() {
+    if proxy.lifecycle.is_closed() {
         // A call taken now could not be finished before the process ends.
         return Err(Cause::Leaving);
     }
-    if config.version.revision == 0 && hub.settings.incarnation.is_none() {
+    if config.version.revision == 0 && proxy.settings.incarnation.is_none() {
         // Without any configuration nothing is known, not even that a route is missing.
         return Err(Cause::Unready);
     }
     let found = if config.has_routes() {
-        find_route(hub, config, request)
+        find_route(proxy, config, request)
     } else {
         find_service(config, request)
     };
-    found.ok_or_else(|| unknown(hub, config))
+    found.ok_or_else(|| unknown(proxy, config))
 }
 
 /// Returns why a call that leads nowhere is refused.
@@ -39,18 +39,22 @@
 /// A caller takes "unknown" for final. While another node holds a newer configuration, which this one
 /// still lacks, it cannot know: what was added there is to be asked for again in a moment. Otherwise
 /// callers of new routes would be turned away for good, wherever a change comes late.
-fn unknown(hub: &Hub, config: &Snapshot) -> Cause {
-    if hub.expected() > config.version.revision { Cause::Outdated } else { Cause::UnknownService }
+fn unknown(proxy: &Proxy, config: &Snapshot) -> Cause {
+    if proxy.expected_revision() > config.version.revision {
+        Cause::Outdated
+    } else {
+        Cause::UnknownService
+    }
 }
 
 /// Finds the service that a request names.
-fn find_service<'a>(config: &'a Snapshot, request: &Request<Inflow>) -> Option<Target<'a>> {
+fn find_service<'a>(config: &'a Snapshot, request: &Request<Inbound>) -> Option<Target<'a>> {
     let (name, path) = address(request)?;
     let service = config.service(&name)?;
     let profile = config.profile(service);
     let rule = profile.rule(request.method().as_str(), path.path());
     let kind = if rule.idempotent { Kind::Idempotent } else { Kind::Once };
-    let terms = Terms {
+    let options = Options {
         kind,
         timeout_ms: rule.deadline_ms,
         attempts: profile.attempts,
@@ -62,29 +66,29 @@
         service: &service.name,
         profile,
         path,
-        terms,
+        options,
         body_limit: profile.max_request_bytes,
         header_limit: config.limits.header_bytes,
     })
 }
 
 /// Tells whether a request may run more than once, as far as routes say.
-pub(crate) fn may_repeat(config: &Snapshot, request: &Request<Inflow>) -> bool {
+pub(crate) fn may_repeat(config: &Snapshot, request: &Request<Inbound>) -> bool {
     let route = config.route(&wire::host(request.headers()), request.uri().path());
     route.is_some_and(|route| route.terms.kind == route::Kind::Idempotent)
 }
 
 fn find_route<'a>(
-    hub: &Hub,
+    proxy: &Proxy,
     config: &'a Snapshot,
-    request: &Request<Inflow>,
+    request: &Request<Inbound>,
 ) -> Option<Target<'a>> {
     let route = config.route(&wire::host(request.headers()), request.uri().path())?;
     let weights: Vec<u32> = route.targets.iter().map(|t| t.weight).collect();
-    let part = hub.next_part(&route.name, &weights)?;
+    let part = proxy.next_part(&route.name, &weights)?;
     let service = config.target(route.targets[part].service);
     let idempotent = route.terms.kind == route::Kind::Idempotent;
-    let terms = Terms {
+    let options = Options {
         kind: if idempotent { Kind::Idempotent } else { Kind::Once },
         timeout_ms: route.terms.timeout_ms,
         attempts: route.terms.attempts,
@@ -96,7 +100,7 @@
         service: &service.name,
         profile: config.profile(service),
         path: request.uri().clone(),
-        terms,
+        options,
         body_limit: config.limits.body_bytes,
         header_limit: config.limits.header_bytes,
     })
@@ -107,7 +111,7 @@
     pub(crate) service: &'a str,
     pub(crate) profile: &'a Profile,
     pub(crate) path: Uri,
-    pub(crate) terms: Terms,
+    pub(crate) options: Options,
     /// Largest request body, in bytes.
     pub(crate) body_limit: usize,
     /// Largest sum of a request's headers, in bytes.
@@ -115,7 +119,7 @@
 }
 
 /// Returns the service that a request names, and the path that its upstream is to see.
-fn address(request: &Request<Inflow>) -> Option<(String, Uri)> {
+fn address(request: &Request<Inbound>) -> Option<(String, Uri)> {
     if let Some(name) = header_text(request.headers(), wire::SERVICE) {
         return Some((name.to_owned(), request.uri().clone()));
     }
--- a/crates/traffic/src/serving.rs
+++ b/crates/traffic/src/serving.rs
@@ -10,66 +10,66 @@
 use std::{sync::Arc, time::Duration};
 
 use crate::{
+    admission::semaphore::Permit,
     call::{Answer, Offer},
-    gate::turnstile::Pass,
-    hub::{Hub, room::Offered},
-    net::{pool::Connection, stream::Look},
-    record::{Interest, Trail},
+    net::{pool::Connection, stream::SocketState},
+    proxy::{Proxy, in_flight::OfferGuard},
+    record::{Interest, Trace},
     upstream::{self, Sent, end},
     wire,
 };
 
 /// Runs an offered call on the own upstream, if it may be run.
 pub(crate) async fn run(
-    hub: &Arc<Hub>,
+    proxy: &Arc<Proxy>,
     profile: &Profile,
     offer: Offer,
 ) -> Result<Answer, Outcome> {
-    let trail = Trail::new(offer_id(hub, &offer));
-    let result = attempt(hub, profile, &offer, &trail).await;
+    let trace = Trace::new(offer_id(proxy, &offer));
+    let result = attempt(proxy, profile, &offer, &trace).await;
     if let Err(Outcome::NotRun(cause, _)) = result {
-        hub.meter.refusal(cause.name());
-        note_claim(hub, &offer, &trail, cause.name());
+        proxy.meter.refusal(cause.name());
+        note_claim(proxy, &offer, &trace, cause.name());
     }
     let interest = match &result {
         Ok(answer) if !answer.head.status().is_server_error() => Interest::Usual,
         _ => Interest::Notable,
     };
-    trail.write(&hub.log, interest);
+    trace.write(&proxy.log, interest);
     result
 }
 
 /// Returns the caller's id of an offered request, or the attempt's number where it gave none.
-fn offer_id(hub: &Hub, offer: &Offer) -> String {
-    let name = hub.settings.names.request.as_ref();
+fn offer_id(proxy: &Proxy, offer: &Offer) -> String {
+    let name = proxy.settings.names.request.as_ref();
     let given = name.and_then(|name| offer.payload.headers.get(name)?.to_str().ok());
     given.map_or_else(|| offer.id.to_string(), str::to_owned)
 }
 
 async fn attempt(
-    hub: &Arc<Hub>,
+    proxy: &Arc<Proxy>,
     profile: &Profile,
     offer: &Offer,
-    trail: &Trail,
+    trace: &Trace,
 ) -> Result<Answer, Outcome> {
-    let _in_hand = Offered::new(&hub.held);
-    check_claim(hub, offer)?;
-    hub.refresh_warm_up();
-    let mut slot = hub.slots.enter(offer.rank, offer.deadline, profile.queue_limit).await?;
-    let kept = hub.pool.take(hub.settings.upstream, idle_limit(profile), offer.kind);
+    let _in_hand = OfferGuard::new(&proxy.in_flight);
+    check_claim(proxy, offer)?;
+    proxy.refresh_warm_up();
+    let mut slot = proxy.slots.acquire(offer.rank, offer.deadline, profile.queue_limit).await?;
+    let kept = proxy.pool.take(proxy.settings.upstream, idle_limit(profile), offer.kind);
     let was_kept = kept.is_some();
     let connection = match kept {
         Some(connection) => connection,
-        None => upstream::dial(hub, offer).await?,
+        None => upstream::dial(proxy, offer).await?,
     };
-    note_claim(hub, offer, trail, "run");
-    let _running = hub.running.begin(trail.id(), offer.rank);
-    let run = end::Run::begin(hub, offer);
-    let result = send_noted(hub, profile, offer, trail, connection, &mut slot).await;
+    note_claim(proxy, offer, trace, "run");
+    let _running = proxy.running.begin(trace.id(), offer.rank);
+    let run = end::Run::begin(proxy, offer);
+    let result = send_noted(proxy, profile, offer, trace, connection, &mut slot).await;
     let result = match result {
         // The upstream closed the kept connection in this moment; nothing was written on it.
-        Err(Sent::Not) if was_kept => match upstream::dial(hub, offer).await {
-            Ok(connection) => send_noted(hub, profile, offer, trail, connection, &mut slot).await,
+        Err(Sent::Not) if was_kept => match upstream::dial(proxy, offer).await {
+            Ok(connection) => send_noted(proxy, profile, offer, trace, connection, &mut slot).await,
             Err(outcome) => Err(Sent::Lost(outcome)),
         },
         result => result,
@@ -80,40 +80,40 @@
 
 /// Claims the call and sends it, and notes how that ended.
 async fn send_noted(
-    hub: &Hub,
+    proxy: &Proxy,
     profile: &Profile,
     offer: &Offer,
-    trail: &Trail,
+    trace: &Trace,
     connection: Connection,
-    slot: &mut Pass,
+    slot: &mut Permit,
 ) -> Result<Answer, Sent> {
-    let begun = hub.clock.now();
-    let result = send(hub, profile, offer, connection, slot).await;
-    note_run(hub, offer, trail, &result, hub.clock.now().since(begun));
+    let begun = proxy.clock.now();
+    let result = send(proxy, profile, offer, connection, slot).await;
+    note_run(proxy, offer, trace, &result, proxy.clock.now().since(begun));
     result
 }
 
 /// Claims the call and sends it: from here on only a whole answer proves what happened.
 async fn send(
-    hub: &Hub,
+    proxy: &Proxy,
     profile: &Profile,
     offer: &Offer,
     connection: Connection,
-    slot: &mut Pass,
+    slot: &mut Permit,
 ) -> Result<Answer, Sent> {
-    let request = upstream::request(hub, offer);
-    if let Err(outcome) = check_claim(hub, offer) {
-        hub.pool.put(hub.settings.upstream, connection);
+    let request = upstream::request(proxy, offer);
+    if let Err(outcome) = check_claim(proxy, offer) {
+        proxy.pool.put(proxy.settings.upstream, connection);
         return Err(Sent::Lost(outcome));
     }
-    upstream::exchange(hub, profile, offer, connection, request, slot).await
+    upstream::exchange(proxy, profile, offer, connection, request, slot).await
 }
 
-fn note_claim(hub: &Hub, offer: &Offer, trail: &Trail, decision: &str) {
-    let load = hub.slots.load();
-    let now = hub.clock.now();
-    trail.note(
-        &hub.log,
+fn note_claim(proxy: &Proxy, offer: &Offer, trace: &Trace, decision: &str) {
+    let load = proxy.slots.load();
+    let now = proxy.clock.now();
+    trace.note(
+        &proxy.log,
         trail::Step::Claimed {
             attempt: offer.id,
             upstream: offer.identity.as_deref().unwrap_or_default().to_owned(),
@@ -127,9 +127,9 @@
 }
 
 fn note_run(
-    hub: &Hub,
+    proxy: &Proxy,
     offer: &Offer,
-    trail: &Trail,
+    trace: &Trace,
     result: &Result<Answer, Sent>,
     span: Duration,
 ) {
@@ -140,34 +140,38 @@
     };
     let ms = span.as_millis() as u64;
     let step = trail::Step::Ran { attempt: offer.id, outcome: outcome.to_owned(), status, ms };
-    trail.note(&hub.log, step);
+    trace.note(&proxy.log, step);
 }
 
 /// Keeps a turn for the body of an offer that is still to come, if the call would be taken.
-pub(crate) async fn reserve(hub: &Hub, profile: &Profile, offer: &Offer) -> Result<u64, Outcome> {
-    check_claim(hub, offer)?;
-    hub.refresh_warm_up();
-    if !hub.slots.admits(offer.rank, offer.deadline, profile.queue_limit) {
+pub(crate) async fn reserve(
+    proxy: &Proxy,
+    profile: &Profile,
+    offer: &Offer,
+) -> Result<u64, Outcome> {
+    check_claim(proxy, offer)?;
+    proxy.refresh_warm_up();
+    if !proxy.slots.admits(offer.rank, offer.deadline, profile.queue_limit) {
         return Err(Cause::Overloaded.outcome());
     }
-    let ticket = hub.next_id();
-    hub.transfers.reserve(ticket, offer.rank, offer.deadline).await?;
+    let ticket = proxy.next_id();
+    proxy.transfers.reserve(ticket, offer.rank, offer.deadline).await?;
     Ok(ticket)
 }
 
 /// Checks every reason not to run the call on the facts of this moment.
-fn check_claim(hub: &Hub, offer: &Offer) -> Result<(), Outcome> {
-    let now = hub.clock.now();
-    let quarantined = hub.quarantined(&offer.payload, &hub.settings.service);
+fn check_claim(proxy: &Proxy, offer: &Offer) -> Result<(), Outcome> {
+    let now = proxy.clock.now();
+    let quarantined = proxy.quarantined(&offer.payload, &proxy.settings.service);
     let facts = claim::Facts {
         now,
         deadline: offer.deadline,
-        paused: hub.in_doubt(offer.received, now),
-        wanted: offer.origin.look() != Look::Closed,
-        leaving: hub.state.is_leaving() || hub.has_left(offer.identity.as_deref()),
-        own: hub.settings.incarnation.is_none_or(|own| own == offer.incarnation)
-            && !hub.has_restarted(offer.identity.as_deref(), offer.started_ms),
-        evacuated: hub.is_evacuated(),
+        paused: proxy.may_be_stale(offer.received, now),
+        wanted: offer.origin.socket_state() != SocketState::Closed,
+        leaving: proxy.lifecycle.is_leaving() || proxy.has_left(offer.identity.as_deref()),
+        own: proxy.settings.incarnation.is_none_or(|own| own == offer.incarnation)
+            && !proxy.has_restarted(offer.identity.as_deref(), offer.started_ms),
+        evacuated: proxy.is_evacuated(),
         quarantined: quarantined.is_some(),
     };
     match (claim::refusal(facts), quarantined) {
--- a/crates/traffic/src/upstream.rs
+++ b/crates/traffic/src/upstream.rs
@@ -10,13 +10,13 @@
 use tokio::time::timeout;
 
 use crate::{
+    admission::semaphore::Permit,
     call::{Answer, Offer},
-    gate::turnstile::Pass,
-    hub::Hub,
     net::{
         body,
-        pool::{Connection, Failure, Unopened},
+        pool::{ConnectError, Connection, SendError},
     },
+    proxy::Proxy,
     upstream::proof::{belongs, is_authentic, refusal},
     wire,
 };
@@ -40,27 +40,27 @@
 }
 
 /// Opens a connection to the upstream.
-pub(crate) async fn dial(hub: &Arc<Hub>, offer: &Offer) -> Result<Connection, Outcome> {
-    let remaining = offer.deadline.since(hub.clock.now());
-    let time = hub.tuning().connect.min(remaining);
-    let opened = hub.pool.open(hub.settings.upstream, time).await;
+pub(crate) async fn dial(proxy: &Arc<Proxy>, offer: &Offer) -> Result<Connection, Outcome> {
+    let remaining = offer.deadline.since(proxy.clock.now());
+    let time = proxy.tuning().connect_timeout.min(remaining);
+    let opened = proxy.pool.open(proxy.settings.upstream, time).await;
     if opened.is_ok() {
-        hub.ends.see_alive();
+        proxy.crashes.mark_alive();
     }
     opened.map_err(|unopened| {
         // All callers of a process may have left before it ended; only the next call notices the end.
-        if unopened == Unopened::Refused && hub.ends.has_lost(hub.clock.now()) {
-            end::look(hub);
+        if unopened == ConnectError::Refused && proxy.crashes.has_recent_loss(proxy.clock.now()) {
+            end::look(proxy);
         }
         of_loss(Step::Dial, Loss::Closed)
     })
 }
 
 /// Returns the request as the upstream is to see it, with the time that is left now.
-pub(crate) fn request(hub: &Hub, offer: &Offer) -> Request<wire::Body> {
+pub(crate) fn request(proxy: &Proxy, offer: &Offer) -> Request<wire::Body> {
     let mut request = offer.payload.request();
-    let remaining = offer.deadline.since(hub.clock.now()).as_millis() as u64;
-    let names = &hub.settings.names;
+    let remaining = offer.deadline.since(proxy.clock.now()).as_millis() as u64;
+    let names = &proxy.settings.names;
     let headers = request.headers_mut();
     headers.insert(names.deadline.clone(), wire::number(remaining));
     if names.request.is_none() {
@@ -76,27 +76,27 @@
 
 /// Sends a claimed call and receives its answer; notes how long the slot was used.
 pub(crate) async fn exchange(
-    hub: &Hub,
+    proxy: &Proxy,
     profile: &Profile,
     offer: &Offer,
     mut connection: Connection,
     request: Request<wire::Body>,
-    slot: &mut Pass,
+    slot: &mut Permit,
 ) -> Result<Answer, Sent> {
-    let begun = hub.clock.now();
+    let begun = proxy.clock.now();
     let remaining = offer.deadline.since(begun);
     let exchange = async {
         let head = match connection.send(request).await {
             Ok(head) => head,
-            Err(Failure::Unsent) => return Err(Sent::Not),
-            Err(Failure::Broken) => return Err(Sent::Lost(of_loss(Step::Run, Loss::Closed))),
+            Err(SendError::Unsent) => return Err(Sent::Not),
+            Err(SendError::Broken) => return Err(Sent::Lost(of_loss(Step::Run, Loss::Closed))),
         };
-        receive(hub, profile, offer, head, remaining).await.map_err(Sent::Lost)
+        receive(proxy, profile, offer, head, remaining).await.map_err(Sent::Lost)
     };
     let result = timeout(remaining, exchange).await;
-    slot.service_time = Some(hub.clock.now().since(begun));
+    slot.service_time = Some(proxy.clock.now().since(begun));
     let Ok(result) = result else {
-        hub.pool.forget(hub.settings.upstream);
+        proxy.pool.close_idle(proxy.settings.upstream);
         return Err(Sent::Lost(of_loss(Step::Run, Loss::Silent)));
     };
     let answer = result?;
@@ -104,9 +104,9 @@
     if !rejected_early {
         // An upstream may reject a long request before it has read all of it and read on later;
         // the next request on the connection would be taken for the rest.
-        hub.pool.put(hub.settings.upstream, connection);
+        proxy.pool.put(proxy.settings.upstream, connection);
     }
-    if let Some(cause) = refusal(hub, &answer.head) {
+    if let Some(cause) = refusal(proxy, &answer.head) {
         return Err(Sent::Lost(of_loss(Step::Run, Loss::Refusal(cause))));
     }
     if Some(answer.head.status().as_u16()) == profile.refused_status {
@@ -117,20 +117,20 @@
 
 /// Receives the upstream's answer whole and checks that it belongs to this call.
 async fn receive(
-    hub: &Hub,
+    proxy: &Proxy,
     profile: &Profile,
     offer: &Offer,
     head: Response<hyper::body::Incoming>,
     time: Duration,
 ) -> Result<Answer, Outcome> {
-    if !belongs(hub, offer, &head) || !is_authentic(hub, &head) {
+    if !belongs(proxy, offer, &head) || !is_authentic(proxy, &head) {
         return Err(Outcome::Unknown(Doubt::BadAnswer));
     }
     let (parts, incoming) = head.into_parts();
     let body = body::receive(incoming, profile.max_answer_bytes, time).await;
     let body = body.map_err(|fault| match fault {
-        body::Fault::Slow => of_loss(Step::Answer, Loss::Silent),
-        body::Fault::Large | body::Fault::Short => of_loss(Step::Answer, Loss::Garbled),
+        body::Fault::TimedOut => of_loss(Step::Answer, Loss::Silent),
+        body::Fault::TooLarge | body::Fault::Truncated => of_loss(Step::Answer, Loss::Garbled),
     })?;
     Ok(Answer { head: Response::from_parts(parts, ()), body })
 }
--- a/crates/traffic/src/upstream/end.rs
+++ b/crates/traffic/src/upstream/end.rs
@@ -10,8 +10,8 @@
 
 use crate::{
     call::{Answer, Offer},
-    hub::Hub,
-    net::pool::Unopened,
+    net::pool::ConnectError,
+    proxy::Proxy,
     upstream::Sent,
 };
 
@@ -29,7 +29,7 @@
 
 /// A call that the upstream works on, until its end is noted or this is dropped.
 pub(crate) struct Run<'a> {
-    hub: &'a Arc<Hub>,
+    proxy: &'a Arc<Proxy>,
     offer: &'a Offer,
     request: Fingerprint,
     ended: bool,
@@ -37,9 +37,9 @@
 
 impl<'a> Run<'a> {
     /// Notes that the upstream is to work on `offer`.
-    pub(crate) fn begin(hub: &'a Arc<Hub>, offer: &'a Offer) -> Self {
-        let request = hub.fingerprint(&offer.payload, &hub.settings.service);
-        Run { hub, offer, request, ended: false }
+    pub(crate) fn begin(proxy: &'a Arc<Proxy>, offer: &'a Offer) -> Self {
+        let request = proxy.fingerprint(&offer.payload, &proxy.settings.service);
+        Run { proxy, offer, request, ended: false }
     }
 
     /// Notes how it ended.
@@ -49,10 +49,10 @@
             // An upstream says that it failed before it ends, too, such as when a call that it made was
             // refused. That clears nothing.
             Ok(answer) if answer.head.status().is_server_error() => {}
-            Ok(_) => self.hub.note_answered(self.request),
+            Ok(_) => self.proxy.note_answered(self.request),
             Err(Sent::Lost(Outcome::Unknown(Doubt::Broken | Doubt::BadAnswer))) => {
                 self.lose(Loss::Broken);
-                look(self.hub);
+                look(self.proxy);
             }
             Err(Sent::Lost(Outcome::Unknown(Doubt::Timeout))) => self.lose(Loss::Abandoned),
             Err(Sent::Lost(Outcome::NotRun(..)) | Sent::Not) => {}
@@ -61,7 +61,7 @@
 
     fn lose(&self, loss: Loss) {
         let suspect = Suspect { request: self.request, label: self.offer.payload.label() };
-        self.hub.ends.lose(suspect, loss, self.hub.clock.now());
+        self.proxy.crashes.record_loss(suspect, loss, self.proxy.clock.now());
     }
 }
 
@@ -74,12 +74,12 @@
 }
 
 /// Finds out whether the upstream has ended, unless that is being found out.
-pub(crate) fn look(hub: &Arc<Hub>) {
-    if hub.ends.begin_look() {
-        let hub = hub.clone();
+pub(crate) fn look(proxy: &Arc<Proxy>) {
+    if proxy.crashes.begin_probe() {
+        let proxy = proxy.clone();
         tokio::spawn(async move {
-            let has_ended = has_ended(&hub).await;
-            hub.ends.end_look(has_ended, hub.clock.now());
+            let has_ended = has_ended(&proxy).await;
+            proxy.crashes.finish_probe(has_ended, proxy.clock.now());
         });
     }
 }
@@ -87,20 +87,20 @@
 /// Tells whether nobody listens at the upstream's address, and nothing was answered since that is known.
 ///
 /// What the process answered in its last moment may be read here after the calls that broke with it.
-async fn has_ended(hub: &Hub) -> bool {
+async fn has_ended(proxy: &Proxy) -> bool {
     let mut refused = Vec::new();
     for _ in 0..QUESTIONS_MOST {
         sleep(PAUSE).await;
-        match hub.pool.open(hub.settings.upstream, hub.tuning().connect).await {
+        match proxy.pool.open(proxy.settings.upstream, proxy.tuning().connect_timeout).await {
             Ok(connection) => {
-                hub.pool.put(hub.settings.upstream, connection);
+                proxy.pool.put(proxy.settings.upstream, connection);
                 return false;
             }
-            Err(Unopened::Failed) => {}
-            Err(Unopened::Refused) => refused.push(hub.clock.now()),
+            Err(ConnectError::Failed) => {}
+            Err(ConnectError::Refused) => refused.push(proxy.clock.now()),
         }
         if refused.len() == REFUSALS {
-            return !hub.ends.has_answered_after(refused[0]);
+            return !proxy.crashes.has_answered_after(refused[0]);
         }
     }
     false
--- a/crates/traffic/tests/claims.rs
+++ b/crates/traffic/tests/claims.rs
@@ -32,9 +32,9 @@
     let second = rig
         .runtime
         .spawn(async move { Caller::new(entry).call(&Call::post("/paydesk/a", "second")).await });
-    rig.wait(|| rig.nodes[0].hub.in_hand() == 2);
+    rig.wait(|| rig.nodes[0].proxy.calls_in_flight() == 2);
     second.abort();
-    rig.wait(|| rig.nodes[0].hub.in_hand() == 1);
+    rig.wait(|| rig.nodes[0].proxy.calls_in_flight() == 1);
     rig.upstreams[0].set_work(Duration::ZERO);
     assert_eq!(rig.call(&Call::post("/paydesk/a", "third")).outcome(), "answered");
     assert_eq!((rig.runs("second"), rig.runs("third")), (0, 1));
@@ -53,7 +53,7 @@
     rig.wait(|| rig.runs("first") == 1);
     first.abort();
     rig.upstreams[0].set_mode(Mode::Normal);
-    rig.wait(|| rig.nodes[0].hub.in_hand() == 0);
+    rig.wait(|| rig.nodes[0].proxy.calls_in_flight() == 0);
     assert_eq!(rig.call(&Call::post("/paydesk/a", "second")).outcome(), "answered");
 }
 
@@ -91,7 +91,7 @@
         .runtime
         .spawn(async move { Caller::new(entry).call(&Call::post("/paydesk/a", "first")).await });
     rig.wait(|| rig.runs("first") == 1);
-    rig.nodes[0].hub.leave();
+    rig.nodes[0].proxy.leave();
     let answer = rig.call(&Call::post("/paydesk/a", "second"));
     assert_eq!((answer.outcome(), answer.header("baobab-cause")), ("not-run", "leaving"));
     let first = rig.runtime.block_on(first).expect("the task ends").expect("an answer comes");
@@ -102,7 +102,7 @@
 #[test]
 fn a_paused_node_runs_nothing_that_may_be_old() {
     let rig = Rig::new(vec![Settings::default()], PROFILE);
-    rig.stop_beat();
+    rig.stop_ticks();
     // The beats of this rig count as missing after three seconds.
     std::thread::sleep(Duration::from_millis(3_200));
     let answer = rig.call(&Call::post("/paydesk/a", "old"));
--- a/crates/traffic/tests/scene/mod.rs
+++ b/crates/traffic/tests/cluster/mod.rs
@@ -22,20 +22,20 @@
 };
 use telemetry::metric::Meter;
 use tokio::runtime::{Builder, Runtime};
-use traffic::{Clock, Door, Hub, Listener, Settings, Tuning, wire::Names};
+use traffic::{Clock, Door, Listener, Proxy, Settings, Tuning, wire::Names};
 
 /// Time after which a test gives up; no verdict depends on it otherwise.
 pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
 
 /// What an upstream does with a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Act {
+pub(crate) enum Behaviour {
     /// Answers 200 with everything that belongs to an answer.
     Answer,
     /// Waits and answers then.
     Slowly(Duration),
     /// Answers once it has seen so many requests.
-    Together(usize),
+    Batch(usize),
     /// Reads the request and says nothing.
     Silent,
     /// Says that it has not run the request.
@@ -55,9 +55,9 @@
     /// Answers 400 before it has read the body, and reads on.
     Early,
     /// Closes the connection.
-    Cut,
+    Close,
     /// Ends as a process does: nobody listens any more, and every connection is closed.
-    End,
+    Crash,
 }
 
 /// A request as an upstream saw it.
@@ -85,7 +85,7 @@
 #[derive(Clone)]
 pub(crate) struct Upstream {
     pub(crate) address: SocketAddr,
-    act: Arc<Mutex<Act>>,
+    behaviour: Arc<Mutex<Behaviour>>,
     seen: Arc<Mutex<Vec<Seen>>>,
     /// Open connections; none of a process that has ended.
     open: Arc<Mutex<Option<Vec<TcpStream>>>>,
@@ -98,7 +98,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
         let upstream = Upstream {
             address: listener.local_addr().expect("the listener has an address"),
-            act: Arc::new(Mutex::new(Act::Answer)),
+            behaviour: Arc::new(Mutex::new(Behaviour::Answer)),
             seen: Arc::default(),
             open: Arc::default(),
             held: Arc::default(),
@@ -117,7 +117,7 @@
             }
             thread::sleep(Duration::from_millis(2));
         };
-        self.set(Act::Answer);
+        self.set(Behaviour::Answer);
         self.listen(listener);
     }
 
@@ -150,7 +150,7 @@
     }
 
     /// Closes the listener and all connections but the last, as if that one's end were read later.
-    pub(crate) fn end_but_one(&self) {
+    pub(crate) fn crash_but_one(&self) {
         let mut open = self.open.lock().expect("no test panics here");
         let mut streams = open.take().unwrap_or_default();
         *self.held.lock().expect("no test panics here") = streams.pop();
@@ -158,7 +158,7 @@
         self.close(streams);
     }
 
-    pub(crate) fn end(&self) {
+    pub(crate) fn crash(&self) {
         let mut open = self.open.lock().expect("no test panics here").take().unwrap_or_default();
         open.extend(self.held.lock().expect("no test panics here").take());
         self.close(open);
@@ -172,8 +172,8 @@
         }
     }
 
-    pub(crate) fn set(&self, act: Act) {
-        *self.act.lock().expect("no test panics here") = act;
+    pub(crate) fn set(&self, behaviour: Behaviour) {
+        *self.behaviour.lock().expect("no test panics here") = behaviour;
     }
 
     pub(crate) fn seen(&self) -> Vec<Seen> {
@@ -183,66 +183,72 @@
     fn serve(&self, stream: &mut TcpStream) {
         let mut buffer = Vec::new();
         while let Some(head) = read_head(stream, &mut buffer) {
-            let act = *self.act.lock().expect("no test panics here");
+            let behaviour = *self.behaviour.lock().expect("no test panics here");
             let seen = Seen { head, body: Vec::new() };
-            if act == Act::Early {
-                let _ = stream.write_all(&answer(&seen, act));
+            if behaviour == Behaviour::Early {
+                let _ = stream.write_all(&answer(&seen, behaviour));
             }
             let length = seen.header("content-length").and_then(|t| t.parse().ok()).unwrap_or(0);
             let Some(body) = read_body(stream, &mut buffer, length) else { return };
             let seen = Seen { body, ..seen };
             self.seen.lock().expect("no test panics here").push(seen.clone());
-            match act {
-                Act::Cut => return,
-                Act::End => return self.end(),
-                Act::Silent => thread::sleep(PATIENCE),
-                Act::Slowly(time) => thread::sleep(time),
-                Act::Together(count) => {
+            match behaviour {
+                Behaviour::Close => return,
+                Behaviour::Crash => return self.crash(),
+                Behaviour::Silent => thread::sleep(PATIENCE),
+                Behaviour::Slowly(time) => thread::sleep(time),
+                Behaviour::Batch(count) => {
                     while self.seen().len() < count {
                         thread::sleep(Duration::from_millis(1));
                     }
                 }
                 _ => {}
             }
-            if act != Act::Early && stream.write_all(&answer(&seen, act)).is_err() {
+            if behaviour != Behaviour::Early && stream.write_all(&answer(&seen, behaviour)).is_err()
+            {
                 return;
             }
-            if act == Act::Unframed {
+            if behaviour == Behaviour::Unframed {
                 return;
             }
         }
     }
 }
 
-fn answer(seen: &Seen, act: Act) -> Vec<u8> {
+fn answer(seen: &Seen, behaviour: Behaviour) -> Vec<u8> {
     let id = seen.header("x-id").unwrap_or_default();
     let stamp = "x-stamp: s1\r\n";
-    let head = match act {
-        Act::Refuse => format!("503 Busy\r\nx-id: {id}\r\nx-refused: 1\r\n"),
-        Act::Other => "421 Misdirected\r\nx-instance: other\r\n".to_owned(),
-        Act::Unmarked => format!("503 Busy\r\nx-id: {id}\r\n{stamp}"),
-        Act::Unstamped => format!("200 OK\r\nx-id: {id}\r\n"),
-        Act::Crossed => format!("200 OK\r\nx-id: another\r\n{stamp}"),
-        Act::Fail => format!("500 Failed\r\nx-id: {id}\r\n{stamp}"),
-        Act::Early => format!("400 Bad\r\nx-id: {id}\r\n{stamp}"),
-        Act::Unframed => format!("200 OK\r\nx-id: {id}\r\n{stamp}connection: close\r\n"),
-        Act::Answer | Act::Slowly(_) | Act::Together(_) | Act::Silent | Act::Cut | Act::End => {
+    let head = match behaviour {
+        Behaviour::Refuse => format!("503 Busy\r\nx-id: {id}\r\nx-refused: 1\r\n"),
+        Behaviour::Other => "421 Misdirected\r\nx-instance: other\r\n".to_owned(),
+        Behaviour::Unmarked => format!("503 Busy\r\nx-id: {id}\r\n{stamp}"),
+        Behaviour::Unstamped => format!("200 OK\r\nx-id: {id}\r\n"),
+        Behaviour::Crossed => format!("200 OK\r\nx-id: another\r\n{stamp}"),
+        Behaviour::Fail => format!("500 Failed\r\nx-id: {id}\r\n{stamp}"),
+        Behaviour::Early => format!("400 Bad\r\nx-id: {id}\r\n{stamp}"),
+        Behaviour::Unframed => format!("200 OK\r\nx-id: {id}\r\n{stamp}connection: close\r\n"),
+        Behaviour::Answer
+        | Behaviour::Slowly(_)
+        | Behaviour::Batch(_)
+        | Behaviour::Silent
+        | Behaviour::Close
+        | Behaviour::Crash => {
             format!("200 OK\r\nx-id: {id}\r\n{stamp}")
         }
     };
-    let length = if act == Act::Unframed { "" } else { "content-length: 4\r\n" };
+    let length = if behaviour == Behaviour::Unframed { "" } else { "content-length: 4\r\n" };
     format!("HTTP/1.1 {head}{length}\r\nbody").into_bytes()
 }
 
 /// Some nodes of service "paydesk", each beside an upstream; all of them entry nodes as well.
-pub(crate) struct Scene {
+pub(crate) struct Cluster {
     pub(crate) runtime: Runtime,
-    pub(crate) hubs: Vec<Arc<Hub>>,
+    pub(crate) proxies: Vec<Arc<Proxy>>,
     pub(crate) callers: Vec<SocketAddr>,
     pub(crate) upstreams: Vec<Upstream>,
 }
 
-/// Routes of every scene.
+/// Routes of every cluster.
 const ROUTES: [(&str, &str); 4] = [
     (
         "routes/read",
@@ -279,50 +285,50 @@
     }
 }
 
-impl Scene {
+impl Cluster {
     /// Starts `count` nodes with `slots` slots each, and puts the routes into force.
     pub(crate) fn new(count: usize, slots: usize) -> Self {
-        let scene = Scene::bare(count, slots);
-        for hub in &scene.hubs {
-            hub.set_config(configuration());
+        let cluster = Cluster::without_config(count, slots);
+        for proxy in &cluster.proxies {
+            proxy.set_config(configuration());
         }
-        scene
+        cluster
     }
 
     /// Starts nodes that hold no configuration.
-    pub(crate) fn bare(count: usize, slots: usize) -> Self {
+    pub(crate) fn without_config(count: usize, slots: usize) -> Self {
         let runtime = Builder::new_multi_thread()
             .worker_threads(4)
             .enable_all()
             .build()
             .expect("threads can be started");
         let upstreams: Vec<Upstream> = (0..count).map(|_| Upstream::start()).collect();
-        let mut scene = Scene { runtime, hubs: Vec::new(), callers: Vec::new(), upstreams };
+        let mut cluster = Cluster { runtime, proxies: Vec::new(), callers: Vec::new(), upstreams };
         let mut listed = Vec::new();
         for number in 0..count {
-            let (caller, node) = scene.start(number, slots);
-            scene.callers.push(caller);
+            let (caller, node) = cluster.start(number, slots);
+            cluster.callers.push(caller);
             listed.push(upstream(number, node, slots));
         }
         let mut view = View::default();
         listed.into_iter().for_each(|upstream| view.add("paydesk", upstream));
         let view = Arc::new(view);
-        scene.hubs.iter().for_each(|hub| hub.set_view(view.clone()));
-        let hubs = scene.hubs.clone();
-        scene.runtime.spawn(async move {
+        cluster.proxies.iter().for_each(|proxy| proxy.set_view(view.clone()));
+        let proxies = cluster.proxies.clone();
+        cluster.runtime.spawn(async move {
             loop {
-                for hub in &hubs {
-                    hub.beat();
+                for proxy in &proxies {
+                    proxy.tick_pause_detector();
                 }
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         });
-        scene
+        cluster
     }
 
     fn start(&mut self, number: usize, slots: usize) -> (SocketAddr, SocketAddr) {
         let settings = Settings {
-            own: own(number),
+            address: own(number),
             service: "paydesk".to_owned(),
             upstream: self.upstreams[number].address,
             slots,
@@ -337,29 +343,29 @@
             ..Settings::default()
         };
         let meter = Arc::new(Meter::new().expect("metrics can be set up"));
-        let hub = Hub::new(settings, Clock::default(), meter);
+        let proxy = Proxy::new(settings, Clock::default(), meter);
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let bind = |door| {
             let listener = self.runtime.block_on(Listener::bind_door(any, door));
             let listener = listener.expect("a port is free");
             let address = listener.address().expect("the listener has an address");
-            self.runtime.spawn(listener.serve(hub.clone()));
+            self.runtime.spawn(listener.serve(proxy.clone()));
             address
         };
         let addresses = (bind(Door::Callers), bind(Door::Nodes));
-        self.hubs.push(hub);
+        self.proxies.push(proxy);
         addresses
     }
 
     /// Shows the node `viewer` the upstream beside node `number` as a life that began at
     /// `started_ms`.
-    pub(crate) fn show_life(&self, viewer: usize, number: usize, started_ms: u64) {
+    pub(crate) fn show_incarnation(&self, viewer: usize, number: usize, started_ms: u64) {
         self.show(viewer, number, |upstream| upstream.started_ms = Some(started_ms));
     }
 
     /// Shows the node `viewer` another entry of the upstream beside node `number`.
     pub(crate) fn show(&self, viewer: usize, number: usize, change: impl Fn(&mut Listed)) {
-        let known = self.hubs[viewer].view();
+        let known = self.proxies[viewer].view();
         let mut view = View::default();
         for (service, upstream) in known.iter() {
             let mut upstream = upstream.clone();
@@ -368,7 +374,7 @@
             }
             view.add(service, upstream);
         }
-        self.hubs[viewer].set_view(Arc::new(view));
+        self.proxies[viewer].set_view(Arc::new(view));
     }
 
     /// Sends `request` to a node on a new connection and returns what comes until it ends.
--- a/crates/traffic/tests/pipelining.rs
+++ b/crates/traffic/tests/pipelining.rs
@@ -1,8 +1,8 @@
 //! Calls that a caller sends ahead on one connection.
 
-mod scene;
+mod cluster;
 
-use scene::{Act, Scene};
+use cluster::{Behaviour, Cluster};
 use std::{
     io::{Read, Write},
     net::TcpStream,
@@ -23,7 +23,7 @@
     request("POST", "/post/a", id) + "content-length: 2\r\n\r\n{}"
 }
 
-/// Reads until `count` answers of the scene's upstreams have come; returns their ids in order.
+/// Reads until `count` answers of the cluster's upstreams have come; returns their ids in order.
 fn ids(stream: &mut TcpStream, count: usize) -> Vec<String> {
     let mut text = String::new();
     let mut chunk = [0; 4096];
@@ -40,25 +40,25 @@
 /// node took up each one only when the one before was answered.
 #[test]
 fn calls_sent_ahead_run_side_by_side_and_are_answered_in_order() {
-    let scene = Scene::new(2, 4);
-    scene.upstreams.iter().for_each(|u| u.set(Act::Answer));
-    let mut stream = scene.connect(0);
+    let cluster = Cluster::new(2, 4);
+    cluster.upstreams.iter().for_each(|u| u.set(Behaviour::Answer));
+    let mut stream = cluster.connect(0);
     // Upstreams that answer only when they have seen all: one after the other, none would end.
-    scene.upstreams[1].set(Act::Refuse);
-    scene.upstreams[0].set(Act::Together(4));
+    cluster.upstreams[1].set(Behaviour::Refuse);
+    cluster.upstreams[0].set(Behaviour::Batch(4));
     let all: String = ["r1", "r2", "r3", "r4"].map(get).concat();
     stream.write_all(all.as_bytes()).expect("the node reads");
     assert_eq!(ids(&mut stream, 4), ["r1", "r2", "r3", "r4"]);
-    scene.upstreams[0].set(Act::Answer);
+    cluster.upstreams[0].set(Behaviour::Answer);
     stream.write_all(get("r5").as_bytes()).expect("the node reads");
     assert_eq!(ids(&mut stream, 1), ["r5"]);
 }
 
 #[test]
 fn heads_that_come_in_pieces_are_put_together() {
-    let scene = Scene::new(1, 4);
-    scene.upstreams[0].set(Act::Together(3));
-    let mut stream = scene.connect(0);
+    let cluster = Cluster::new(1, 4);
+    cluster.upstreams[0].set(Behaviour::Batch(3));
+    let mut stream = cluster.connect(0);
     let all: String = ["r1", "r2", "r3"].map(get).concat();
     for piece in all.as_bytes().chunks(37) {
         stream.write_all(piece).expect("the node reads");
@@ -71,16 +71,16 @@
 /// it had been taken up ahead of its turn.
 #[test]
 fn what_may_run_only_once_waits_for_its_turn() {
-    let scene = Scene::new(1, 4);
-    scene.upstreams[0].set(Act::Slowly(Duration::from_millis(300)));
-    let mut stream = scene.connect(0);
+    let cluster = Cluster::new(1, 4);
+    cluster.upstreams[0].set(Behaviour::Slowly(Duration::from_millis(300)));
+    let mut stream = cluster.connect(0);
     stream.write_all((get("r1") + &post("r2") + &get("r3")).as_bytes()).expect("the node reads");
-    scene.wait(|| !scene.seen().is_empty());
+    cluster.wait(|| !cluster.seen().is_empty());
     thread::sleep(Duration::from_millis(100));
-    assert_eq!(scene.seen().len(), 1, "only the first may run");
+    assert_eq!(cluster.seen().len(), 1, "only the first may run");
     assert_eq!(ids(&mut stream, 3), ["r1", "r2", "r3"]);
     let order: Vec<String> =
-        scene.seen().iter().filter_map(|s| s.header("x-id").map(str::to_owned)).collect();
+        cluster.seen().iter().filter_map(|s| s.header("x-id").map(str::to_owned)).collect();
     assert_eq!(order, ["r1", "r2", "r3"]);
 }
 
@@ -88,25 +88,25 @@
 /// taken up for it.
 #[test]
 fn calls_taken_up_ahead_end_with_the_connection() {
-    let scene = Scene::new(1, 4);
-    scene.upstreams[0].set(Act::Silent);
-    let mut stream = scene.connect(0);
+    let cluster = Cluster::new(1, 4);
+    cluster.upstreams[0].set(Behaviour::Silent);
+    let mut stream = cluster.connect(0);
     stream.write_all((get("r1") + &get("r2")).as_bytes()).expect("the node reads");
-    scene.wait(|| scene.seen().len() == 2);
+    cluster.wait(|| cluster.seen().len() == 2);
     drop(stream);
-    scene.wait(|| scene.hubs[0].in_hand() == 0);
+    cluster.wait(|| cluster.proxies[0].calls_in_flight() == 0);
 }
 
 /// Uploads arrive whole, in order and in time on connections that are read along.
 #[test]
 fn bodies_that_come_in_pieces_arrive_whole() {
-    let scene = Scene::new(1, 16);
+    let cluster = Cluster::new(1, 16);
     let body = "x".repeat(60_000);
     let upload = request("POST", "/post/a", "r1") + "content-length: 60000\r\n\r\n" + &body;
     thread::scope(|scope| {
         for _ in 0..8 {
             scope.spawn(|| {
-                let mut stream = scene.connect(0);
+                let mut stream = cluster.connect(0);
                 for _ in 0..40 {
                     for piece in upload.as_bytes().chunks(1_400) {
                         stream.write_all(piece).expect("the node reads");
@@ -116,5 +116,5 @@
             });
         }
     });
-    assert!(scene.seen().iter().all(|seen| seen.body.len() == body.len()));
+    assert!(cluster.seen().iter().all(|seen| seen.body.len() == body.len()));
 }
