--- a/crates/traffic/tests/quarantine.rs
+++ b/crates/traffic/tests/quarantine.rs
@@ -1,10 +1,10 @@
 //! Requests that end upstreams: which ones are told of, and which are not run.
 
-mod scene;
+mod cluster;
 
+use cluster::{Behaviour, Cluster, header, request, status};
 use fleet::quarantine::{Loss, Quarantine};
 use model::{request::Fingerprint, time::Time};
-use scene::{Act, Scene, header, request, status};
 use std::{cell::RefCell, io::Write, sync::Arc, thread, time::Duration};
 
 /// Time in which a node finds out whether its upstream has ended, with room to spare.
@@ -14,10 +14,10 @@
 const HELD: u64 = 1_000;
 
 /// Returns what ran when the upstream of `node` ended, once that is found.
-fn ended(scene: &Scene, node: usize) -> Loss {
+fn ended(cluster: &Cluster, node: usize) -> Loss {
     let found = RefCell::new(Vec::new());
-    scene.wait(|| {
-        found.borrow_mut().extend(scene.hubs[node].take_ends());
+    cluster.wait(|| {
+        found.borrow_mut().extend(cluster.proxies[node].take_crashes());
         !found.borrow().is_empty()
     });
     let mut ends = found.into_inner();
@@ -26,24 +26,24 @@
 }
 
 /// Ends the only upstream by `bytes`, and starts it again.
-fn lose(scene: &Scene, bytes: &str) -> Loss {
-    scene.upstreams[0].set(Act::End);
-    assert_eq!(status(&scene.exchange(0, bytes)), "502");
-    let loss = ended(scene, 0);
+fn lose(cluster: &Cluster, bytes: &str) -> Loss {
+    cluster.upstreams[0].set(Behaviour::Crash);
+    assert_eq!(status(&cluster.exchange(0, bytes)), "502");
+    let loss = ended(cluster, 0);
     assert_eq!(loss.suspects.len(), 1);
-    scene.upstreams[0].restart();
+    cluster.upstreams[0].restart();
     loss
 }
 
 /// Ends the only upstream by `bytes`, and starts it again; returns what they ask for.
-fn end(scene: &Scene, bytes: &str) -> Fingerprint {
-    lose(scene, bytes).suspects[0].request
+fn crash(cluster: &Cluster, bytes: &str) -> Fingerprint {
+    lose(cluster, bytes).suspects[0].request
 }
 
-fn hold(scene: &Scene, node: usize, request: Fingerprint) {
+fn hold(cluster: &Cluster, node: usize, request: Fingerprint) {
     let until = Time::at(Duration::from_secs(HELD));
     let quarantine = Quarantine { until: [(request, until)].into(), suspects: [request].into() };
-    scene.hubs[node].set_quarantine(Arc::new(quarantine));
+    cluster.proxies[node].set_quarantine(Arc::new(quarantine));
 }
 
 /// Returns what a node is told of suspects that may run.
@@ -53,26 +53,26 @@
 }
 
 #[track_caller]
-fn check_refused(scene: &Scene, node: usize, bytes: &str) {
-    let before = scene.seen().len();
-    let answer = scene.exchange(node, bytes);
+fn check_refused(cluster: &Cluster, node: usize, bytes: &str) {
+    let before = cluster.seen().len();
+    let answer = cluster.exchange(node, bytes);
     assert_eq!(status(&answer), "503", "{answer}");
     assert_eq!(header(&answer, "baobab-cause"), Some("quarantined"));
     let after: f64 = header(&answer, "retry-after").and_then(|t| t.parse().ok()).unwrap_or(0.0);
     assert!(after > HELD as f64 / 2.0, "to come back after {after} s");
-    assert_eq!(scene.seen().len(), before, "it has not run");
+    assert_eq!(cluster.seen().len(), before, "it has not run");
 }
 
 /// Ends the upstream by one request, and brings another one once the first is not to be run.
 #[track_caller]
 fn check(first: &str, second: &str, same: bool) {
-    let scene = Scene::new(1, 4);
-    let fatal = end(&scene, first);
-    hold(&scene, 0, fatal);
+    let cluster = Cluster::new(1, 4);
+    let fatal = crash(&cluster, first);
+    hold(&cluster, 0, fatal);
     if same {
-        check_refused(&scene, 0, second);
+        check_refused(&cluster, 0, second);
     } else {
-        let answer = scene.exchange(0, second);
+        let answer = cluster.exchange(0, second);
         assert_eq!(status(&answer), "200", "{answer}");
     }
 }
@@ -80,15 +80,16 @@
 /// An operator sees that upstreams end, and not under what.
 #[test]
 fn an_end_is_told_with_all_that_ran() {
-    let scene = Scene::new(1, 4);
-    scene.upstreams[0].set(Act::Silent);
-    let mut waiting = scene.connect(0);
+    let cluster = Cluster::new(1, 4);
+    cluster.upstreams[0].set(Behaviour::Silent);
+    let mut waiting = cluster.connect(0);
     let read = request("GET", "/read/waiting", "", "");
     waiting.write_all(read.as_bytes()).expect("the node reads");
-    scene.wait(|| scene.seen().len() == 1);
-    scene.upstreams[0].set(Act::End);
-    scene.exchange(0, &request("POST", "/post/fatal?day=2", "", "{}"));
-    let mut labels: Vec<String> = ended(&scene, 0).suspects.into_iter().map(|s| s.label).collect();
+    cluster.wait(|| cluster.seen().len() == 1);
+    cluster.upstreams[0].set(Behaviour::Crash);
+    cluster.exchange(0, &request("POST", "/post/fatal?day=2", "", "{}"));
+    let mut labels: Vec<String> =
+        ended(&cluster, 0).suspects.into_iter().map(|s| s.label).collect();
     labels.sort();
     assert_eq!(labels, ["GET shop.example/read/waiting", "POST shop.example/post/fatal?day=2"]);
 }
@@ -96,40 +97,40 @@
 /// Answers are cut short, and after three of them a popular page is refused everywhere.
 #[test]
 fn a_connection_that_breaks_is_no_end() {
-    let scene = Scene::new(1, 4);
-    scene.upstreams[0].set(Act::Cut);
-    assert_eq!(status(&scene.exchange(0, &request("GET", "/read/a", "", ""))), "502");
-    scene.upstreams[0].set(Act::Answer);
+    let cluster = Cluster::new(1, 4);
+    cluster.upstreams[0].set(Behaviour::Close);
+    assert_eq!(status(&cluster.exchange(0, &request("GET", "/read/a", "", ""))), "502");
+    cluster.upstreams[0].set(Behaviour::Answer);
     thread::sleep(FOUND);
-    assert!(scene.hubs[0].take_ends().is_empty());
+    assert!(cluster.proxies[0].take_crashes().is_empty());
 }
 
 /// Copies of a page that were answered a moment ago ran when the upstream ended; the page is not the cause.
 #[test]
 fn what_was_just_answered_is_no_suspect() {
-    let scene = Scene::new(1, 4);
+    let cluster = Cluster::new(1, 4);
     let page = request("GET", "/read/page", "", "");
-    assert_eq!(status(&scene.exchange(0, &page)), "200");
-    scene.upstreams[0].set(Act::End);
-    assert_eq!(status(&scene.exchange(0, &page)), "502");
+    assert_eq!(status(&cluster.exchange(0, &page)), "200");
+    cluster.upstreams[0].set(Behaviour::Crash);
+    assert_eq!(status(&cluster.exchange(0, &page)), "502");
     thread::sleep(FOUND);
-    assert!(scene.hubs[0].take_ends().is_empty());
+    assert!(cluster.proxies[0].take_crashes().is_empty());
 }
 
 /// The caller leaves before the upstream ends under its request, so nobody sees that call break.
 #[test]
 fn the_next_call_finds_an_end_that_nobody_waited_for() {
-    let scene = Scene::new(1, 4);
-    scene.upstreams[0].set(Act::Silent);
-    let mut left = scene.connect(0);
+    let cluster = Cluster::new(1, 4);
+    cluster.upstreams[0].set(Behaviour::Silent);
+    let mut left = cluster.connect(0);
     let read = request("GET", "/read/left", "", "");
     left.write_all(read.as_bytes()).expect("the node reads");
-    scene.wait(|| scene.seen().len() == 1);
+    cluster.wait(|| cluster.seen().len() == 1);
     drop(left);
-    scene.wait(|| scene.hubs[0].in_hand() == 0);
-    scene.upstreams[0].end();
-    assert_eq!(status(&scene.exchange(0, &request("GET", "/read/next", "", ""))), "503");
-    let suspects = ended(&scene, 0).suspects;
+    cluster.wait(|| cluster.proxies[0].calls_in_flight() == 0);
+    cluster.upstreams[0].crash();
+    assert_eq!(status(&cluster.exchange(0, &request("GET", "/read/next", "", ""))), "503");
+    let suspects = ended(&cluster, 0).suspects;
     assert_eq!(suspects.len(), 1);
     assert_eq!(suspects[0].label, "GET shop.example/read/left");
 }
@@ -162,79 +163,79 @@
 /// The entry node has not heard of it yet; the upstream's own node has.
 #[test]
 fn the_serving_node_refuses_what_an_entry_node_offers() {
-    let scene = Scene::new(1, 4);
+    let cluster = Cluster::new(1, 4);
     let read = request("GET", "/read/x", "", "");
-    let fatal = end(&scene, &read);
-    let entry = Scene::bare(1, 4);
+    let fatal = crash(&cluster, &read);
+    let entry = Cluster::without_config(1, 4);
     let mut view = fleet::view::View::default();
-    for (service, upstream) in scene.hubs[0].view().iter() {
+    for (service, upstream) in cluster.proxies[0].view().iter() {
         // The entry node has an address of its own, so the upstream is another node's.
         let address = "127.0.0.3:7000".parse().expect("an address");
         view.add(service, fleet::view::Upstream { address, ..upstream.clone() });
     }
-    entry.hubs[0].set_config(scene.hubs[0].config());
-    entry.hubs[0].set_view(Arc::new(view));
+    entry.proxies[0].set_config(cluster.proxies[0].config());
+    entry.proxies[0].set_view(Arc::new(view));
     assert_eq!(status(&entry.exchange(0, &request("GET", "/read/y", "", ""))), "200");
-    hold(&scene, 0, fatal);
-    let before = scene.seen().len();
+    hold(&cluster, 0, fatal);
+    let before = cluster.seen().len();
     let answer = entry.exchange(0, &read);
     assert_eq!((status(&answer), header(&answer, "baobab-cause")), ("503", Some("quarantined")));
-    assert_eq!(scene.seen().len(), before);
+    assert_eq!(cluster.seen().len(), before);
 }
 
 /// A copy is sent ahead on a connection that waits for another answer.
 #[test]
 fn a_request_that_is_sent_ahead_is_refused_too() {
-    let scene = Scene::new(1, 4);
+    let cluster = Cluster::new(1, 4);
     let read = request("GET", "/read/x", "", "");
-    let fatal = end(&scene, &read);
-    hold(&scene, 0, fatal);
-    let before = scene.seen().len();
+    let fatal = crash(&cluster, &read);
+    hold(&cluster, 0, fatal);
+    let before = cluster.seen().len();
     let first = request("GET", "/read/y", "", "").replace("connection: close\r\n", "");
-    let answers = scene.exchange(0, &format!("{first}{read}"));
+    let answers = cluster.exchange(0, &format!("{first}{read}"));
     assert_eq!(answers.matches("HTTP/1.1 200").count(), 1, "{answers}");
     assert_eq!(answers.matches("HTTP/1.1 503").count(), 1, "{answers}");
-    assert_eq!(scene.seen().len(), before + 1);
+    assert_eq!(cluster.seen().len(), before + 1);
 }
 
 /// A request waits for a slot while the word comes that it must not run.
 #[test]
 fn a_request_that_waits_for_a_slot_is_refused() {
-    let scene = Scene::new(1, 1);
+    let cluster = Cluster::new(1, 1);
     let read = request("GET", "/read/long/x", "", "");
-    let fatal = end(&scene, &read);
-    scene.upstreams[0].set(Act::Slowly(Duration::from_millis(400)));
-    let mut first = scene.connect(0);
+    let fatal = crash(&cluster, &read);
+    cluster.upstreams[0].set(Behaviour::Slowly(Duration::from_millis(400)));
+    let mut first = cluster.connect(0);
     first.write_all(request("GET", "/read/long/y", "", "").as_bytes()).expect("the node reads");
-    let before = scene.seen().len();
-    scene.wait(|| scene.seen().len() > before);
-    let mut second = scene.connect(0);
+    let before = cluster.seen().len();
+    cluster.wait(|| cluster.seen().len() > before);
+    let mut second = cluster.connect(0);
     second.write_all(read.as_bytes()).expect("the node reads");
-    scene.wait(|| scene.hubs[0].in_hand() >= 3);
-    hold(&scene, 0, fatal);
+    cluster.wait(|| cluster.proxies[0].calls_in_flight() >= 3);
+    hold(&cluster, 0, fatal);
     let mut answer = String::new();
     // A reset ends the text as well.
     let _ = std::io::Read::read_to_string(&mut second, &mut answer);
     assert_eq!(header(&answer, "baobab-cause"), Some("quarantined"), "{answer}");
-    assert_eq!(scene.seen().len(), before + 1);
+    assert_eq!(cluster.seen().len(), before + 1);
 }
 
 /// Two copies ran when the process ended, and the break of one was read later than that of the other: a third of
 /// the way to being refused, not two thirds.
 #[test]
 fn one_process_ends_once() {
-    let scene = Scene::new(1, 4);
+    let cluster = Cluster::new(1, 4);
     let read = request("GET", "/read/x", "", "");
-    scene.upstreams[0].set(Act::Silent);
-    let mut copies: Vec<_> = (0..2).map(|_| scene.connect(0)).collect();
+    cluster.upstreams[0].set(Behaviour::Silent);
+    let mut copies: Vec<_> = (0..2).map(|_| cluster.connect(0)).collect();
     copies.iter_mut().for_each(|c| c.write_all(read.as_bytes()).expect("the node reads"));
-    scene.wait(|| scene.seen().len() == 2);
-    scene.upstreams[0].end_but_one();
-    let first = ended(&scene, 0);
-    scene.upstreams[0].end();
-    assert_eq!(ended(&scene, 0), first);
-    scene.upstreams[0].restart();
-    assert_ne!(lose(&scene, &read).end, first.end);
+    cluster.wait(|| cluster.seen().len() == 2);
+    cluster.upstreams[0].crash_but_one();
+    let first = ended(&cluster, 0);
+    cluster.upstreams[0].crash();
+    assert_eq!(ended(&cluster, 0), first);
+    cluster.upstreams[0].restart();
+    assert_ne!(lose(&cluster, &read).end, first.end);
 }
 
 /// One attempt of a caller ends two upstreams: its repeat at the next one begins before word of the first end has
@@ -242,39 +243,39 @@
 #[test]
 fn a_suspect_whose_outcome_is_unknown_is_not_repeated() {
     let read = request("GET", "/read/x", "", "");
-    let suspect = end(&Scene::new(1, 4), &read);
+    let suspect = crash(&Cluster::new(1, 4), &read);
     for (suspects, runs) in [(vec![], 2), (vec![suspect], 1)] {
-        let scene = Scene::new(2, 4);
-        scene.hubs[0].set_quarantine(suspected(&suspects));
-        scene.upstreams.iter().for_each(|upstream| upstream.set(Act::Cut));
-        assert_eq!(status(&scene.exchange(0, &read)), "502");
-        assert_eq!(scene.seen().len(), runs);
+        let cluster = Cluster::new(2, 4);
+        cluster.proxies[0].set_quarantine(suspected(&suspects));
+        cluster.upstreams.iter().for_each(|upstream| upstream.set(Behaviour::Close));
+        assert_eq!(status(&cluster.exchange(0, &read)), "502");
+        assert_eq!(cluster.seen().len(), runs);
     }
 }
 
 /// A request is suspected by others after an outage, and this node answered it a moment before, or does now.
 #[test]
 fn an_answer_here_clears_what_others_suspect() {
-    let scene = Scene::new(1, 4);
+    let cluster = Cluster::new(1, 4);
     let read = request("GET", "/read/x", "", "");
-    let suspect = end(&scene, &read);
-    scene.hubs[0].set_quarantine(suspected(&[suspect]));
-    assert!(scene.hubs[0].take_cleared().is_empty());
-    assert_eq!(status(&scene.exchange(0, &read)), "200");
-    assert_eq!(scene.hubs[0].take_cleared(), [suspect]);
-    scene.hubs[0].set_quarantine(Arc::default());
-    scene.hubs[0].set_quarantine(suspected(&[suspect]));
-    assert_eq!(scene.hubs[0].take_cleared(), [suspect]);
+    let suspect = crash(&cluster, &read);
+    cluster.proxies[0].set_quarantine(suspected(&[suspect]));
+    assert!(cluster.proxies[0].take_cleared().is_empty());
+    assert_eq!(status(&cluster.exchange(0, &read)), "200");
+    assert_eq!(cluster.proxies[0].take_cleared(), [suspect]);
+    cluster.proxies[0].set_quarantine(Arc::default());
+    cluster.proxies[0].set_quarantine(suspected(&[suspect]));
+    assert_eq!(cluster.proxies[0].take_cleared(), [suspect]);
 }
 
 /// An upstream says that it failed, as it does where a call that it makes is refused; that clears nothing.
 #[test]
 fn a_failure_clears_nothing() {
-    let scene = Scene::new(1, 4);
+    let cluster = Cluster::new(1, 4);
     let read = request("GET", "/read/x", "", "");
-    let suspect = end(&scene, &read);
-    scene.hubs[0].set_quarantine(suspected(&[suspect]));
-    scene.upstreams[0].set(Act::Fail);
-    assert_eq!(status(&scene.exchange(0, &read)), "500");
-    assert!(scene.hubs[0].take_cleared().is_empty());
+    let suspect = crash(&cluster, &read);
+    cluster.proxies[0].set_quarantine(suspected(&[suspect]));
+    cluster.upstreams[0].set(Behaviour::Fail);
+    assert_eq!(status(&cluster.exchange(0, &read)), "500");
+    assert!(cluster.proxies[0].take_cleared().is_empty());
 }
--- a/crates/traffic/tests/rig/mod.rs
+++ b/crates/traffic/tests/rig/mod.rs
@@ -26,17 +26,17 @@
 };
 use telemetry::metric::Meter;
 use tokio::runtime::{Builder, Runtime};
-use traffic::{Clock, Hub, Listener, Settings, Tuning};
+use traffic::{Clock, Listener, Proxy, Settings, Tuning};
 
 /// Time after which a test that waits for something gives up; no verdict depends on it otherwise.
 pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
 
 /// The life of every node.
-pub(crate) const LIFE: u64 = 7;
+pub(crate) const INCARNATION: u64 = 7;
 
 /// A node without control thread.
 pub(crate) struct Node {
-    pub(crate) hub: Arc<Hub>,
+    pub(crate) proxy: Arc<Proxy>,
     pub(crate) traffic: SocketAddr,
 }
 
@@ -46,7 +46,7 @@
     pub(crate) entry: Node,
     pub(crate) nodes: Vec<Node>,
     pub(crate) upstreams: Vec<Upstream>,
-    beating: Arc<AtomicBool>,
+    ticking: Arc<AtomicBool>,
 }
 
 impl Rig {
@@ -72,7 +72,7 @@
             entry,
             nodes,
             upstreams: upstreams.into_iter().map(|(_, upstream)| upstream).collect(),
-            beating: Arc::new(AtomicBool::new(true)),
+            ticking: Arc::new(AtomicBool::new(true)),
             runtime,
         };
         rig.set_profile(profile);
@@ -83,7 +83,7 @@
             .map(|(i, node)| record(i, node.traffic, State::Live))
             .collect();
         rig.set_view(&records);
-        rig.start_beat();
+        rig.start_ticks();
         rig
     }
 
@@ -100,19 +100,19 @@
         ];
         let delta = Delta { revision: 1, full: true, documents, ..Delta::default() };
         let snapshot = Arc::new(accept(&Set::default().with(delta)).expect("the profile is good"));
-        for hub in self.hubs() {
-            hub.set_config(snapshot.clone());
+        for proxy in self.proxies() {
+            proxy.set_config(snapshot.clone());
         }
     }
 
     /// Shows these records to the entry node.
     pub(crate) fn set_view(&self, records: &[Record]) {
-        self.entry.hub.set_view(Arc::new(View::new(records.iter(), "ktm-a")));
+        self.entry.proxy.set_view(Arc::new(View::new(records.iter(), "ktm-a")));
     }
 
     /// Stops the beats that prove that the process runs, as a pause would.
-    pub(crate) fn stop_beat(&self) {
-        self.beating.store(false, Ordering::SeqCst);
+    pub(crate) fn stop_ticks(&self) {
+        self.ticking.store(false, Ordering::SeqCst);
     }
 
     /// Makes one call through the entry node.
@@ -136,18 +136,18 @@
         }
     }
 
-    fn hubs(&self) -> Vec<Arc<Hub>> {
+    fn proxies(&self) -> Vec<Arc<Proxy>> {
         let nodes = self.nodes.iter().chain([&self.entry]);
-        nodes.map(|node| node.hub.clone()).collect()
+        nodes.map(|node| node.proxy.clone()).collect()
     }
 
-    fn start_beat(&self) {
-        let (hubs, beating) = (self.hubs(), self.beating.clone());
+    fn start_ticks(&self) {
+        let (proxies, ticking) = (self.proxies(), self.ticking.clone());
         self.runtime.spawn(async move {
             loop {
-                if beating.load(Ordering::SeqCst) {
-                    for hub in &hubs {
-                        hub.beat();
+                if ticking.load(Ordering::SeqCst) {
+                    for proxy in &proxies {
+                        proxy.tick_pause_detector();
                     }
                 }
                 tokio::time::sleep(Duration::from_millis(5)).await;
@@ -164,7 +164,7 @@
         instance: format!("paydesk-{number}"),
         service: "paydesk".to_owned(),
         data_centre: "ktm-a".to_owned(),
-        incarnation: LIFE,
+        incarnation: INCARNATION,
         sequence: 0,
         state,
     }
@@ -176,13 +176,13 @@
 
 fn start(runtime: &Runtime, number: usize, upstream: SocketAddr, slots: usize) -> Node {
     let settings = Settings {
-        own: own(number),
-        incarnation: Some(LIFE),
+        address: own(number),
+        incarnation: Some(INCARNATION),
         service: "paydesk".to_owned(),
         upstream,
         slots,
-        tuning: Tuning { connect: Duration::from_secs(2), ..Tuning::default() },
-        connections: 256,
+        tuning: Tuning { connect_timeout: Duration::from_secs(2), ..Tuning::default() },
+        max_connections: 256,
         // A busy machine must not look like a pause; the test of pauses stops the beats for good.
         pause: policy::pause::Settings {
             gap: Duration::from_secs(3),
@@ -191,11 +191,11 @@
         ..Settings::default()
     };
     let meter = Arc::new(Meter::new().expect("metrics can be set up"));
-    let hub = Hub::new(settings, Clock::default(), meter);
+    let proxy = Proxy::new(settings, Clock::default(), meter);
     let listener = runtime
         .block_on(Listener::bind(SocketAddr::from(([127, 0, 0, 1], 0))))
         .expect("a port is free");
     let traffic = listener.address().expect("the listener has an address");
-    runtime.spawn(listener.serve(hub.clone()));
-    Node { hub, traffic }
+    runtime.spawn(listener.serve(proxy.clone()));
+    Node { proxy, traffic }
 }
--- a/crates/traffic/tests/routed.rs
+++ b/crates/traffic/tests/routed.rs
@@ -1,37 +1,37 @@
 //! Calls that are routed by host and path to upstreams that the platform lists.
 
-mod scene;
+mod cluster;
 
-use scene::{Act, Scene, header, request, status};
+use cluster::{Behaviour, Cluster, header, request, status};
 use std::{io::Write, thread, time::Duration};
 
 #[track_caller]
-fn check(scene: &Scene, text: &str, expect: &str) -> String {
-    let answer = scene.exchange(0, text);
+fn check(cluster: &Cluster, text: &str, expect: &str) -> String {
+    let answer = cluster.exchange(0, text);
     assert_eq!(status(&answer), expect, "{answer}");
     answer
 }
 
 #[test]
 fn the_longest_prefix_of_the_host_decides() {
-    let scene = Scene::new(1, 4);
-    check(&scene, &request("GET", "/read/a?b=1", "", ""), "200");
-    check(&scene, &request("GET", "/read/none/a", "", ""), "503");
-    check(&scene, &request("GET", "/reading/a", "", ""), "404");
-    check(&scene, &request("GET", "/paydesk/a", "", ""), "404");
+    let cluster = Cluster::new(1, 4);
+    check(&cluster, &request("GET", "/read/a?b=1", "", ""), "200");
+    check(&cluster, &request("GET", "/read/none/a", "", ""), "503");
+    check(&cluster, &request("GET", "/reading/a", "", ""), "404");
+    check(&cluster, &request("GET", "/paydesk/a", "", ""), "404");
     let elsewhere = request("GET", "/read/a", "", "").replace("shop.example", "other.example");
-    check(&scene, &elsewhere, "404");
+    check(&cluster, &elsewhere, "404");
     let with_port = request("GET", "/read/a", "", "").replace("shop.example", "Shop.Example:80");
-    check(&scene, &with_port, "200");
-    assert!(scene.seen()[0].head.starts_with("GET /read/a?b=1 HTTP/1.1"));
+    check(&cluster, &with_port, "200");
+    assert!(cluster.seen()[0].head.starts_with("GET /read/a?b=1 HTTP/1.1"));
 }
 
 /// A node that has just started tells every caller that their route does not exist, and they give
 /// up: it holds no configuration yet, so it cannot know.
 #[test]
 fn without_a_configuration_nothing_is_said_about_routes() {
-    let scene = Scene::bare(1, 4);
-    let answer = check(&scene, &request("GET", "/read/a", "", ""), "503");
+    let cluster = Cluster::without_config(1, 4);
+    let answer = check(&cluster, &request("GET", "/read/a", "", ""), "503");
     assert_eq!(header(&answer, "baobab-cause"), Some("unready"));
 }
 
@@ -40,25 +40,25 @@
 /// configuration is in force elsewhere, so it cannot know, and asks them to come back.
 #[test]
 fn a_node_that_is_behind_does_not_say_that_a_route_is_unknown() {
-    let scene = Scene::new(1, 4);
-    let held = scene.hubs[0].config().version.revision;
-    scene.hubs[0].set_expected(held + 1);
-    let answer = check(&scene, &request("GET", "/added/a", "", ""), "503");
+    let cluster = Cluster::new(1, 4);
+    let held = cluster.proxies[0].config().version.revision;
+    cluster.proxies[0].set_expected_revision(held + 1);
+    let answer = check(&cluster, &request("GET", "/added/a", "", ""), "503");
     assert_eq!(header(&answer, "baobab-cause"), Some("outdated"));
     assert!(header(&answer, "retry-after").is_some());
-    check(&scene, &request("GET", "/read/a", "", ""), "200");
-    scene.hubs[0].set_expected(held);
-    check(&scene, &request("GET", "/added/a", "", ""), "404");
+    check(&cluster, &request("GET", "/read/a", "", ""), "200");
+    cluster.proxies[0].set_expected_revision(held);
+    check(&cluster, &request("GET", "/added/a", "", ""), "404");
 }
 
 #[test]
 fn the_entry_node_sets_what_only_it_may_set() {
-    let scene = Scene::new(2, 4);
+    let cluster = Cluster::new(2, 4);
     let forged = "x-caller: somebody\r\nx-expect: i-9\r\nx-other: kept\r\nbaobab-offer: 0\r\n";
     for _ in 0..4 {
-        check(&scene, &request("POST", "/post/a", forged, "{}"), "200");
+        check(&cluster, &request("POST", "/post/a", forged, "{}"), "200");
     }
-    for seen in scene.seen() {
+    for seen in cluster.seen() {
         assert_eq!(seen.header("x-caller"), Some("paydesk"));
         assert_eq!(seen.header("x-other"), Some("kept"));
         assert_eq!(seen.header("x-id"), Some("r1"));
@@ -74,24 +74,24 @@
 /// only what other nodes say of a call's rank and of an upstream's life is believed.
 #[test]
 fn what_nodes_tell_each_other_is_not_believed_of_callers() {
-    let scene = Scene::new(1, 4);
+    let cluster = Cluster::new(1, 4);
     let forged = "baobab-nested: 1\r\nbaobab-priority: none\r\nbaobab-started-ms: never\r\n";
-    check(&scene, &request("GET", "/read/a", forged, ""), "200");
-    assert!(!scene.seen()[0].head.contains("baobab-"), "{}", scene.seen()[0].head);
+    check(&cluster, &request("GET", "/read/a", forged, ""), "200");
+    assert!(!cluster.seen()[0].head.contains("baobab-"), "{}", cluster.seen()[0].head);
 }
 
 /// A payment is refused by an upstream that is full and by one whose address was taken over. Both
 /// prove that it has not run, so it goes on to the third.
 #[test]
 fn what_provably_has_not_run_goes_to_another_upstream() {
-    for refusal in [Act::Refuse, Act::Other] {
-        let scene = Scene::new(2, 4);
-        scene.upstreams[0].set(refusal);
+    for refusal in [Behaviour::Refuse, Behaviour::Other] {
+        let cluster = Cluster::new(2, 4);
+        cluster.upstreams[0].set(refusal);
         for _ in 0..5 {
-            check(&scene, &request("POST", "/post/a", "", "{}"), "200");
+            check(&cluster, &request("POST", "/post/a", "", "{}"), "200");
         }
-        scene.upstreams[1].set(refusal);
-        let answer = check(&scene, &request("POST", "/post/a", "", "{}"), "503");
+        cluster.upstreams[1].set(refusal);
+        let answer = check(&cluster, &request("POST", "/post/a", "", "{}"), "503");
         let after: f64 = header(&answer, "retry-after").expect("it is told").parse().expect("s");
         assert!(after > 0.0 && after < 1.0, "{after}");
     }
@@ -100,28 +100,28 @@
 /// A payment is repeated by its caller, because a node passed on a 503 that promised nothing.
 #[test]
 fn answers_that_prove_nothing_are_not_passed_on_as_proof() {
-    for act in [Act::Unmarked, Act::Unstamped, Act::Crossed] {
-        let scene = Scene::new(2, 4);
-        scene.upstreams.iter().for_each(|upstream| upstream.set(act));
-        check(&scene, &request("POST", "/post/a", "", "{}"), "502");
-        assert_eq!(scene.seen().len(), 1, "{act:?}");
+    for behaviour in [Behaviour::Unmarked, Behaviour::Unstamped, Behaviour::Crossed] {
+        let cluster = Cluster::new(2, 4);
+        cluster.upstreams.iter().for_each(|upstream| upstream.set(behaviour));
+        check(&cluster, &request("POST", "/post/a", "", "{}"), "502");
+        assert_eq!(cluster.seen().len(), 1, "{behaviour:?}");
     }
 }
 
 #[test]
 fn an_upstream_s_own_failure_is_passed_on_whole() {
-    let scene = Scene::new(1, 4);
-    scene.upstreams[0].set(Act::Fail);
-    let answer = check(&scene, &request("POST", "/post/a", "", "{}"), "500");
+    let cluster = Cluster::new(1, 4);
+    cluster.upstreams[0].set(Behaviour::Fail);
+    let answer = check(&cluster, &request("POST", "/post/a", "", "{}"), "500");
     assert_eq!(header(&answer, "x-stamp"), Some("s1"));
     assert!(answer.ends_with("\r\n\r\nbody"));
 }
 
 #[test]
 fn an_answer_may_end_with_its_connection() {
-    let scene = Scene::new(2, 4);
-    scene.upstreams.iter().for_each(|upstream| upstream.set(Act::Unframed));
-    let answer = check(&scene, &request("GET", "/read/a", "", ""), "200");
+    let cluster = Cluster::new(2, 4);
+    cluster.upstreams.iter().for_each(|upstream| upstream.set(Behaviour::Unframed));
+    let answer = check(&cluster, &request("GET", "/read/a", "", ""), "200");
     assert_eq!(header(&answer, "content-length"), Some("4"));
 }
 
@@ -129,10 +129,10 @@
 /// lost; another upstream could have answered in time.
 #[test]
 fn a_silent_upstream_gets_a_rival() {
-    let scene = Scene::new(2, 4);
-    scene.upstreams[0].set(Act::Silent);
+    let cluster = Cluster::new(2, 4);
+    cluster.upstreams[0].set(Behaviour::Silent);
     for _ in 0..3 {
-        check(&scene, &request("GET", "/read/a", "", ""), "200");
+        check(&cluster, &request("GET", "/read/a", "", ""), "200");
     }
 }
 
@@ -140,43 +140,43 @@
 /// although there was nobody else to ask.
 #[test]
 fn a_slow_answer_is_waited_for_where_nobody_else_can_be_asked() {
-    let scene = Scene::new(1, 4);
-    scene.upstreams[0].set(Act::Slowly(Duration::from_millis(1_200)));
-    check(&scene, &request("GET", "/read/a", "", ""), "200");
-    assert_eq!(scene.seen().len(), 1);
+    let cluster = Cluster::new(1, 4);
+    cluster.upstreams[0].set(Behaviour::Slowly(Duration::from_millis(1_200)));
+    check(&cluster, &request("GET", "/read/a", "", ""), "200");
+    assert_eq!(cluster.seen().len(), 1);
 }
 
 #[test]
 fn a_payment_has_no_rival() {
-    let scene = Scene::new(2, 4);
-    scene.upstreams.iter().for_each(|u| u.set(Act::Slowly(Duration::from_millis(900))));
-    check(&scene, &request("POST", "/post/a", "", "{}"), "200");
-    assert_eq!(scene.seen().len(), 1);
+    let cluster = Cluster::new(2, 4);
+    cluster.upstreams.iter().for_each(|u| u.set(Behaviour::Slowly(Duration::from_millis(900))));
+    check(&cluster, &request("POST", "/post/a", "", "{}"), "200");
+    assert_eq!(cluster.seen().len(), 1);
 }
 
 /// The answer to a pharmacy's last lookup never arrives, although it was written: more lookups
 /// waited unread behind it, and closing the socket reset the connection.
 #[test]
 fn the_last_answer_of_a_closing_node_arrives() {
-    let scene = Scene::new(1, 4);
-    scene.hubs[0].set_open(true);
-    scene.upstreams[0].set(Act::Slowly(Duration::from_millis(50)));
+    let cluster = Cluster::new(1, 4);
+    cluster.proxies[0].set_ready(true);
+    cluster.upstreams[0].set(Behaviour::Slowly(Duration::from_millis(50)));
     for round in 0..20 {
-        scene.hubs[0].set_open(true);
+        cluster.proxies[0].set_ready(true);
         let one = request("GET", "/read/a", "", "").replace("connection: close\r\n", "");
-        let mut stream = scene.connect(0);
+        let mut stream = cluster.connect(0);
         stream.write_all(one.repeat(30).as_bytes()).expect("the node reads");
-        scene.wait(|| scene.seen().len() > round);
-        scene.hubs[0].set_open(false);
+        cluster.wait(|| cluster.seen().len() > round);
+        cluster.proxies[0].set_ready(false);
         let mut text = String::new();
         let read = std::io::Read::read_to_string(&mut stream, &mut text);
         let answers = text.matches("HTTP/1.1 200").count();
         assert!(read.is_ok(), "{read:?} after {answers} answers");
         assert!(text.ends_with("body") && answers >= 1, "{text}");
         assert_eq!(text.matches("connection: close").count(), 1);
-        let ran = scene.seen().len();
-        scene.wait(|| scene.hubs[0].in_hand() == 0);
-        assert_eq!(scene.seen().len(), ran);
+        let ran = cluster.seen().len();
+        cluster.wait(|| cluster.proxies[0].calls_in_flight() == 0);
+        assert_eq!(cluster.seen().len(), ran);
     }
 }
 
@@ -184,30 +184,30 @@
 /// behind it.
 #[test]
 fn a_large_body_crosses_only_if_it_will_be_taken() {
-    let scene = Scene::new(2, 1);
+    let cluster = Cluster::new(2, 1);
     let body = "x".repeat(100_000);
     for _ in 0..6 {
-        check(&scene, &request("POST", "/post/big", "", &body), "200");
+        check(&cluster, &request("POST", "/post/big", "", &body), "200");
     }
-    let whole = |seen: &scene::Seen| seen.body.len() == 100_000;
-    assert!(scene.seen().iter().all(whole));
+    let whole = |seen: &cluster::Seen| seen.body.len() == 100_000;
+    assert!(cluster.seen().iter().all(whole));
     let too_large = "x".repeat(200_001);
-    check(&scene, &request("POST", "/post/big", "", &too_large), "413");
+    check(&cluster, &request("POST", "/post/big", "", &too_large), "413");
 }
 
 /// The rest of a rejected upload is taken for the next request: the upstream answers before it has
 /// read everything and keeps the connection.
 #[test]
 fn a_connection_with_an_early_answer_is_not_used_again() {
-    let scene = Scene::new(1, 4);
-    scene.upstreams[0].set(Act::Early);
+    let cluster = Cluster::new(1, 4);
+    cluster.upstreams[0].set(Behaviour::Early);
     let body = "x".repeat(150_000);
     for _ in 0..5 {
-        check(&scene, &request("POST", "/post/big", "", &body), "400");
+        check(&cluster, &request("POST", "/post/big", "", &body), "400");
     }
-    scene.upstreams[0].set(Act::Answer);
-    check(&scene, &request("POST", "/post/a", "", "{}"), "200");
-    for seen in scene.seen() {
+    cluster.upstreams[0].set(Behaviour::Answer);
+    check(&cluster, &request("POST", "/post/a", "", "{}"), "200");
+    for seen in cluster.seen() {
         assert!(seen.head.starts_with("POST /post/"), "{}", seen.head);
     }
 }
@@ -216,35 +216,35 @@
 /// fill the table.
 #[test]
 fn a_refusal_ends_its_connection() {
-    let scene = Scene::new(1, 1);
-    scene.upstreams[0].set(Act::Slowly(Duration::from_millis(700)));
+    let cluster = Cluster::new(1, 1);
+    cluster.upstreams[0].set(Behaviour::Slowly(Duration::from_millis(700)));
     let holding = request("GET", "/read/long/a", "", "");
     let refused = request("GET", "/read/a", "", "").replace("connection: close\r\n", "");
     thread::scope(|scope| {
-        scope.spawn(|| scene.exchange(0, &holding));
-        scene.wait(|| !scene.seen().is_empty());
+        scope.spawn(|| cluster.exchange(0, &holding));
+        cluster.wait(|| !cluster.seen().is_empty());
         // The text ends only because the node ends the connection.
-        let answer = check(&scene, &refused, "503");
+        let answer = check(&cluster, &refused, "503");
         assert_eq!(header(&answer, "connection"), Some("close"));
     });
 }
 
 #[test]
 fn a_node_that_ends_soon_takes_nothing_more() {
-    let scene = Scene::new(1, 4);
-    scene.hubs[0].leave();
-    scene.hubs[0].close();
-    let answer = check(&scene, &request("GET", "/read/a", "", ""), "503");
+    let cluster = Cluster::new(1, 4);
+    cluster.proxies[0].leave();
+    cluster.proxies[0].close();
+    let answer = check(&cluster, &request("GET", "/read/a", "", ""), "503");
     assert_eq!(header(&answer, "baobab-cause"), Some("leaving"));
-    assert!(scene.seen().is_empty());
+    assert!(cluster.seen().is_empty());
 }
 
 #[test]
 fn heads_over_the_limit_are_refused() {
-    let scene = Scene::new(1, 4);
+    let cluster = Cluster::new(1, 4);
     let large = format!("x-large: {}\r\n", "x".repeat(20_000));
-    check(&scene, &request("GET", "/read/a", &large, ""), "431");
-    assert!(scene.seen().is_empty());
+    check(&cluster, &request("GET", "/read/a", &large, ""), "431");
+    assert!(cluster.seen().is_empty());
     let fitting = format!("x-large: {}\r\n", "x".repeat(10_000));
-    check(&scene, &request("GET", "/read/a", &fitting, ""), "200");
+    check(&cluster, &request("GET", "/read/a", &fitting, ""), "200");
 }
--- a/crates/traffic/tests/script.rs
+++ b/crates/traffic/tests/script.rs
@@ -69,7 +69,7 @@
             rig.upstreams[index(n)].set_mode(MODES[usize::from(mode) % MODES.len()]);
         }
         Action::Pay(count) => pay(rig, count, told),
-        Action::Leave(n) => rig.nodes[index(n)].hub.leave(),
+        Action::Leave(n) => rig.nodes[index(n)].proxy.leave(),
         Action::Age(n) => show(rig, Some(index(n))),
         Action::Refresh => show(rig, None),
     }
--- a/crates/traffic/tests/silent_connections.rs
+++ b/crates/traffic/tests/silent_connections.rs
@@ -21,13 +21,13 @@
 
 const PROFILE: &str = r#"{"deadline_ms": 1500, "idle_ms": 3000}"#;
 
-/// A device between two ends. Connections made before [`Device::forget`] swallow every byte.
-struct Device {
+/// A middlebox between two ends. Connections made before [`Middlebox::drop_state`] swallow every byte.
+struct Middlebox {
     address: SocketAddr,
     generation: Arc<AtomicUsize>,
 }
 
-impl Device {
+impl Middlebox {
     fn start(target: SocketAddr) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
         let address = listener.local_addr().expect("the listener has an address");
@@ -45,10 +45,10 @@
                 }
             }
         });
-        Device { address, generation }
+        Middlebox { address, generation }
     }
 
-    fn forget(&self) {
+    fn drop_state(&self) {
         self.generation.fetch_add(1, Ordering::SeqCst);
     }
 }
@@ -63,12 +63,12 @@
     }
 }
 
-/// Six connections through a device are kept, and then forgotten by it.
-fn rig_behind_device() -> (Rig, Device) {
+/// Six connections through a middlebox are kept, and then forgotten by it.
+fn rig_behind_middlebox() -> (Rig, Middlebox) {
     let work = Duration::from_millis(60);
     let rig = Rig::new(vec![Settings { work, ..Settings::default() }], PROFILE);
-    let device = Device::start(rig.nodes[0].traffic);
-    rig.set_view(&[record(0, device.address, State::Live)]);
+    let middlebox = Middlebox::start(rig.nodes[0].traffic);
+    rig.set_view(&[record(0, middlebox.address, State::Live)]);
     let entry = rig.entry.traffic;
     let warm: Vec<_> = (0..6)
         .map(|i| {
@@ -80,15 +80,15 @@
         let answer = rig.runtime.block_on(call).expect("the task ends").expect("an answer comes");
         assert_eq!(answer.outcome(), "answered");
     }
-    device.forget();
-    (rig, device)
+    middlebox.drop_state();
+    (rig, middlebox)
 }
 
 /// A payment of the early morning stays without an outcome: it went out on a connection from the
 /// evening before, which a router had forgotten.
 #[test]
 fn a_payment_does_not_go_on_an_old_connection() {
-    let (rig, _device) = rig_behind_device();
+    let (rig, _device) = rig_behind_middlebox();
     thread::sleep(Duration::from_millis(3_100));
     let answer = rig.call(&Call::post("/paydesk/pay", "early"));
     assert_eq!((answer.outcome(), rig.runs("early")), ("answered", 1));
@@ -98,7 +98,7 @@
 /// other upstream is left.
 #[test]
 fn a_read_on_a_silent_connection_is_repeated_on_a_new_one() {
-    let (rig, _device) = rig_behind_device();
+    let (rig, _device) = rig_behind_middlebox();
     assert_eq!(rig.call(&Call::get("/paydesk/balance")).outcome(), "answered");
 }
 
@@ -106,7 +106,7 @@
 /// outcome. It must be told so, and the next one must not meet the same connection.
 #[test]
 fn a_payment_on_a_connection_that_just_went_silent_is_unknown() {
-    let (rig, _device) = rig_behind_device();
+    let (rig, _device) = rig_behind_middlebox();
     let answer = rig.call(&Call::post("/paydesk/pay", "lost"));
     assert_eq!((answer.outcome(), rig.runs("lost")), ("unknown", 0));
     let answer = rig.call(&Call::post("/paydesk/pay", "next"));
--- a/crates/traffic/tests/stages.rs
+++ b/crates/traffic/tests/stages.rs
@@ -12,8 +12,20 @@
 
 /// Modules of the crate; each imports only those that come after it.
 const ORDER: [&str; 14] = [
-    "intake", "routing", "entry", "link", "serving", "upstream", "hub", "gate", "call", "net",
-    "record", "wire", "lock", "clock",
+    "intake",
+    "routing",
+    "entry",
+    "forward",
+    "serving",
+    "upstream",
+    "proxy",
+    "admission",
+    "call",
+    "net",
+    "record",
+    "wire",
+    "lock",
+    "clock",
 ];
 
 fn rank(module: &str) -> usize {
