--- a/crates/traffic/src/forward/sender.rs
+++ b/crates/traffic/src/forward/sender.rs
@@ -53,7 +53,8 @@
         return result;
     }
     let mut ticket = None;
-    if proxy.settings.incarnation.is_none() && offer.payload.body.len() >= placement::LARGE_BODY_BYTES
+    if proxy.settings.incarnation.is_none()
+        && offer.payload.body.len() >= placement::LARGE_BODY_BYTES
     {
         ticket = Some(reserve(proxy, call, upstream, &offer, patience).await?);
     }
