--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -1,17 +1,7 @@
-//! Admission at the serving node: as many calls as the upstream has slots, and a short queue.
+//! Admission at the serving node: a concurrency limit and a bounded priority queue per upstream.
 //!
-//! A queue without a bound turns overload into lateness: every call waits until its deadline and
-//! the upstream works only for callers who have gone. So the queue is bounded in length and in
-//! time: a call whose expected wait exceeds its remaining time is refused at once.
-//!
-//! Calls of a more urgent rank go first, with one exception: calls that upstreams make for work that is
-//! under way go before all callers' while they hold no more than half of the slots. They are short, and
-//! without them that work is lost, so where callers overload the service all of them are answered.
-//! Where they would fill the service themselves, more urgent callers get the other half.
-//!
-//! Where a call's rank says by when it must begin, it waits
-//! no longer than that: under lasting overload a long queue would use up the time in which its calls
-//! could still be answered in time, and every answer would come late.
+//! A call that cannot start in time is refused at once. Nested calls go before external ones while
+//! they hold at most half of the slots, since without them the work of their parents is lost.
 
 use model::time::Time;
 use std::{
@@ -21,88 +11,87 @@
 
 use crate::warmup::{Bucket, Limit};
 
-/// Share of a new sample in the moving average of service times.
-const SAMPLE_SHARE: f64 = 0.1;
+/// Weight of a new sample in the moving average of service times.
+const SAMPLE_WEIGHT: f64 = 0.1;
 
-/// Shortest time after which a refused caller is asked to come back.
+/// Shortest `Retry-After` of a refusal.
 pub const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// Longest time after which a refused caller is asked to come back.
+/// Longest `Retry-After` of a refusal.
 pub const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
-/// Times between two freed slots that a call of an upstream may wait, where that is longer than its rank
-/// allows.
+/// Mean intervals between freed slots that a nested call may wait, even if its rank allows less.
 ///
-/// It goes before callers, so it gets one of the next slots. With few slots or long calls the next one is
-/// freed later than a short call may usually wait, and all work that makes such calls would be lost.
+/// With few slots or long calls, the next slot may be freed after the objective of a nested call.
 const NESTED_TURNOVERS: u32 = 2;
 
-/// Part of its time that a call of an upstream waits at most.
+/// Divides the remaining time of a nested call to give its longest wait.
 ///
-/// What waits holds two slots, and two services that call each other would wait for each other's.
-pub(crate) const NESTED_WAIT_SHARE: u32 = 3;
+/// A waiting nested call also occupies the slot of its parent; the bound keeps two services that
+/// call each other from blocking each other.
+pub(crate) const NESTED_WAIT_DIVISOR: u32 = 3;
 
-/// A call known to the gate.
+/// Identifies a call at one limiter.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct Ticket(pub u64);
 
-/// Who makes a call.
+/// Traffic class of a call.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Class {
-    /// Somebody outside.
+    /// Made by a client of the fleet.
     #[default]
     External,
-    /// An upstream, for work that is under way.
+    /// Made by an upstream on behalf of a call that it is processing.
     Nested,
 }
 
-/// Urgency of a call among those that wait at one upstream.
+/// Priority of a call in the queue of one upstream.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Rank {
-    /// 0 is the most urgent.
+    /// Queue priority; 0 is the most urgent.
     pub priority: u8,
-    /// Time by which it must have begun; none where only the deadline counts.
+    /// Latest time to start; `None` if only the deadline counts.
     pub start_by: Option<Time>,
-    /// Who makes it.
+    /// Traffic class, which the queue order takes into account.
     pub class: Class,
 }
 
-/// Answer to an arriving call.
+/// Result of an admission check.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Decision {
-    /// A slot is taken for the call.
+    /// The call holds a slot and may run.
     Run,
-    /// The call waits, but no longer than until the given time; [`Limiter::finish`] will name it when
-    /// a slot is free.
+    /// The call is queued until the given time at the latest; [`Limiter::finish`] returns its
+    /// ticket when a slot is free.
     Wait(Time),
-    /// No slot in time; the caller should come back after the given time.
+    /// No slot will be free in time; the caller may retry after the given delay.
     Refuse(Duration),
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Waiter {
     ticket: Ticket,
-    /// When an answer could no longer be in time: the call is refused then and not run.
+    /// Latest start; the call is refused after this time.
     until: Time,
     priority: u8,
     class: Class,
 }
 
-/// Slots and queue of one upstream.
+/// Concurrency limiter with a bounded queue in front of one upstream.
 #[derive(Debug)]
 pub struct Limiter {
     slots: usize,
     busy: usize,
     queue: VecDeque<Waiter>,
-    /// Calls of upstreams that hold a slot.
+    /// Nested calls that hold a slot.
     nested: HashSet<Ticket>,
     service_time: Duration,
-    /// Limit of an upstream that is cold.
+    /// Rate limit during warm-up; `None` once the upstream is warm.
     warm_up: Option<Bucket>,
 }
 
 impl Limiter {
-    /// Creates a gate in front of `slots` slots.
+    /// Creates a limiter with `slots` slots and an empty queue.
     pub fn new(slots: usize) -> Self {
         Limiter {
             slots,
@@ -114,29 +103,30 @@
         }
     }
 
-    /// Lets no more calls through than `limit` says until the upstream is warm.
+    /// Applies the warm-up rate `limit` until the upstream is warm.
     pub fn set_warm_up(&mut self, limit: Limit, now: Time) {
         match &mut self.warm_up {
-            Some(bucket) if bucket.is_in_force(now) => bucket.set_limit(limit, now),
+            Some(bucket) if bucket.is_active(now) => bucket.set_limit(limit, now),
             bucket => *bucket = Some(Bucket::new(limit, now)),
         }
     }
 
-    /// Ends the limit of an upstream that is warm.
+    /// Removes the warm-up rate limit.
     pub fn end_warm_up(&mut self) {
         self.warm_up = None;
     }
 
-    /// Decides on a call that must be answered by `deadline`, with at most `queue_limit` waiting.
+    /// Admits, queues or refuses a call that must be answered by `deadline`; at most `queue_limit`
+    /// calls wait.
     ///
     /// ```
     /// use model::time::Time;
     /// use policy::admission::{Decision, Limiter, Ticket};
-    /// let mut gate = Limiter::new(1);
+    /// let mut limiter = Limiter::new(1);
     /// let (now, late) = (Time::from_millis(0), Time::from_millis(900));
-    /// assert_eq!(gate.admit(Ticket(1), now, late, 8), Decision::Run);
-    /// assert_eq!(gate.admit(Ticket(2), now, late, 8), Decision::Wait(late));
-    /// assert_eq!(gate.finish(Ticket(1), now, None), Some(Ticket(2)));
+    /// assert_eq!(limiter.admit(Ticket(1), now, late, 8), Decision::Run);
+    /// assert_eq!(limiter.admit(Ticket(2), now, late, 8), Decision::Wait(late));
+    /// assert_eq!(limiter.finish(Ticket(1), now, None), Some(Ticket(2)));
     /// ```
     pub fn admit(
         &mut self,
@@ -148,7 +138,7 @@
         self.admit_ranked(ticket, Rank::default(), now, deadline, queue_limit)
     }
 
-    /// Decides on a call of `rank`; see [`admit`](Limiter::admit).
+    /// Admits, queues or refuses a call of `rank`; see [`admit`](Limiter::admit).
     pub fn admit_ranked(
         &mut self,
         ticket: Ticket,
@@ -157,102 +147,101 @@
         deadline: Time,
         queue_limit: usize,
     ) -> Decision {
-        // Where a slot is free and calls wait, they wait for a token and go first.
+        // Calls that wait while a slot is free wait for a token and keep their place.
         if self.busy < self.slots && self.queue.is_empty() && self.take_token(now) {
             self.busy += 1;
-            self.hold(ticket, rank.class);
+            self.track_nested(ticket, rank.class);
             return Decision::Run;
         }
         self.drop_expired(now);
         if !self.would_admit(rank, now, deadline, queue_limit) {
-            cov_mark::hit!(gate_refuses);
+            cov_mark::hit!(admission_refused);
             return Decision::Refuse(self.retry_after(now));
         }
-        let place = self.queue.partition_point(|w| w.priority <= rank.priority);
-        // More urgent calls may yet come and go first.
+        let position = self.queue.partition_point(|w| w.priority <= rank.priority);
+        // `expected_wait` is a lower bound: more urgent calls may still arrive.
         let until = self.latest_start(rank, now, deadline);
         let waiter = Waiter { ticket, until, priority: rank.priority, class: rank.class };
-        self.queue.insert(place, waiter);
+        self.queue.insert(position, waiter);
         Decision::Wait(until)
     }
 
-    /// Tells whether a call of `rank` would be let in or could wait.
+    /// Tells whether a call of `rank` would get a slot or a place in the queue.
     pub fn would_admit(&self, rank: Rank, now: Time, deadline: Time, queue_limit: usize) -> bool {
         if self.busy < self.slots && self.token_wait(1, now).is_zero() {
             return true;
         }
-        let wait = self.expected_wait(self.place(rank) + 1, now);
+        let wait = self.expected_wait(self.position(rank) + 1, now);
         let full = self.queue.iter().filter(|w| w.until > now).count() >= queue_limit;
-        let hopeless = now + wait >= deadline;
-        let untimely = now + wait > self.latest_start(rank, now, deadline);
-        !full && !hopeless && !untimely
+        let misses_deadline = now + wait >= deadline;
+        let starts_late = now + wait > self.latest_start(rank, now, deadline);
+        !full && !misses_deadline && !starts_late
     }
 
-    /// Returns by when a call must have begun.
+    /// Returns the latest start of a call of `rank`.
     fn latest_start(&self, rank: Rank, now: Time, deadline: Time) -> Time {
         let start_by = rank.start_by.unwrap_or(deadline).min(deadline);
         match rank.class {
             Class::External => start_by,
             Class::Nested => {
-                let most = deadline.since(now) / NESTED_WAIT_SHARE;
+                let max_wait = deadline.since(now) / NESTED_WAIT_DIVISOR;
                 let turnovers = self.expected_wait(1, now) * NESTED_TURNOVERS;
-                start_by.max(now + turnovers.min(most))
+                start_by.max(now + turnovers.min(max_wait))
             }
         }
     }
 
-    /// Returns how many waiting calls go before one of `rank`, as far as can be told now.
-    fn place(&self, rank: Rank) -> usize {
+    /// Returns how many of the waiting calls go before a new call of `rank`.
+    fn position(&self, rank: Rank) -> usize {
         let by_rank = self.queue.partition_point(|w| w.priority <= rank.priority);
         let nested = |waiters: usize| {
             self.queue.iter().take(waiters).filter(|w| w.class == Class::Nested).count()
         };
         let all = nested(self.queue.len());
         match rank.class {
-            Class::Nested if nested(by_rank) < self.quota() => nested(by_rank),
+            Class::Nested if nested(by_rank) < self.nested_quota() => nested(by_rank),
             Class::Nested => by_rank,
-            Class::External => by_rank + (all - nested(by_rank)).min(self.quota()),
+            Class::External => by_rank + (all - nested(by_rank)).min(self.nested_quota()),
         }
     }
 
-    /// Returns how many more calls of upstreams may hold slots before more urgent callers go first.
+    /// Returns how many more nested calls may hold slots before rank alone decides.
     ///
-    /// With half of the slots, either side that needs less than that is served nearly whole, however
-    /// much the other wants. Without a bound 13 of 100 uploads were, and by urgency alone 15 of 100
-    /// checks (table in `tests/shares.rs`).
-    fn quota(&self) -> usize {
+    /// Half of the slots keeps either class from starving the other; see `tests/shares.rs`.
+    fn nested_quota(&self) -> usize {
         (self.slots / 2).max(1).saturating_sub(self.nested.len())
     }
 
-    /// Takes the call that goes next out of the queue.
-    fn next(&mut self) -> Option<Waiter> {
+    /// Removes the next call to run from the queue.
+    fn pop_next(&mut self) -> Option<Waiter> {
         let nested = self.queue.iter().position(|w| w.class == Class::Nested);
         match nested {
-            Some(index) if self.quota() > 0 => self.queue.remove(index),
+            Some(index) if self.nested_quota() > 0 => self.queue.remove(index),
             _ => self.queue.pop_front(),
         }
     }
 
-    fn hold(&mut self, ticket: Ticket, class: Class) {
+    fn track_nested(&mut self, ticket: Ticket, class: Class) {
         if class == Class::Nested {
             self.nested.insert(ticket);
         }
     }
 
-    /// Sets the number of slots, as when an upstream of another size takes the place of one.
+    /// Sets the number of slots, for example after a replacement of the upstream by one of another
+    /// size.
     ///
-    /// Returns the calls that may run now; their slots are taken.
+    /// Returns the calls that may run now; each holds a slot.
     pub fn resize(&mut self, slots: usize, now: Time) -> Vec<Ticket> {
         self.slots = slots;
         self.grant_waiting(now)
     }
 
-    /// Returns the waiting calls for which there are slots and tokens now; their slots are taken.
+    /// Returns the waiting calls for which slots and tokens are available; each holds a slot now.
     pub fn grant_waiting(&mut self, now: Time) -> Vec<Ticket> {
         std::iter::from_fn(|| self.release_one(now)).collect()
     }
 
-    /// Takes a slot and a token for the call that goes next, if there are both.
+    /// Gives the next waiting call a slot and a token, if both are available.
     fn release_one(&mut self, now: Time) -> Option<Ticket> {
         if self.busy >= self.slots {
             return None;
@@ -261,9 +250,9 @@
         if self.queue.is_empty() || !self.take_token(now) {
             return None;
         }
-        let waiter = self.next()?;
+        let waiter = self.pop_next()?;
         self.busy += 1;
-        self.hold(waiter.ticket, waiter.class);
+        self.track_nested(waiter.ticket, waiter.class);
         Some(waiter.ticket)
     }
 
@@ -271,7 +260,7 @@
         let before = self.queue.len();
         self.queue.retain(|w| w.until > now);
         if self.queue.len() < before {
-            cov_mark::hit!(gate_drops_expired);
+            cov_mark::hit!(admission_expired);
         }
     }
 
@@ -281,15 +270,15 @@
         (!self.queue.is_empty() && !wait.is_zero()).then(|| now + wait)
     }
 
-    /// Returns the number of slots.
+    /// Returns the configured number of slots.
     pub fn slots(&self) -> usize {
         self.slots
     }
 
-    /// Frees the slot of `ticket` after `service_time` (none where the call did not reach the upstream) and
-    /// passes it on to the next call that still has time; that call's slot is taken.
+    /// Frees the slot of `ticket` and returns the next waiting call, which then holds a slot.
     ///
-    /// Calls whose time is over are dropped: their own timers answer them.
+    /// `service_time` is `None` if the call did not reach the upstream. Expired calls are dropped;
+    /// their own timers answer them.
     pub fn finish(
         &mut self,
         ticket: Ticket,
@@ -299,22 +288,23 @@
         self.nested.remove(&ticket);
         match service_time {
             Some(sample) => self.service_time = average(self.service_time, sample),
-            None => self.give_token_back(),
+            None => self.return_token(),
         }
         self.busy = self.busy.saturating_sub(1);
         self.release_one(now)
     }
 
-    /// Forgets a waiting call; returns whether it was still waiting.
+    /// Removes a call from the queue; returns whether it was waiting.
     ///
-    /// A call that is no longer waiting holds a slot and must [`finish`](Limiter::finish).
+    /// A call that is no longer waiting holds a slot and must be ended by
+    /// [`finish`](Limiter::finish).
     pub fn cancel(&mut self, ticket: Ticket) -> bool {
         let before = self.queue.len();
         self.queue.retain(|w| w.ticket != ticket);
         self.queue.len() < before
     }
 
-    /// Returns when a refused caller has a fair chance: once the present queue has been worked off.
+    /// Returns the `Retry-After` of a refusal: the expected time until the current queue is empty.
     pub fn retry_after(&self, now: Time) -> Duration {
         let wait = self.expected_wait(self.queue.len() + 1, now);
         wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
@@ -325,28 +315,28 @@
         self.busy
     }
 
-    /// Returns the number of waiting calls.
+    /// Returns the number of queued calls.
     pub fn waiting(&self) -> usize {
         self.queue.len()
     }
 
-    fn expected_wait(&self, place: usize, now: Time) -> Duration {
-        let slot_wait = self.service_time.mul_f64(place as f64 / self.slots.max(1) as f64);
-        slot_wait.max(self.token_wait(place, now))
+    fn expected_wait(&self, position: usize, now: Time) -> Duration {
+        let slot_wait = self.service_time.mul_f64(position as f64 / self.slots.max(1) as f64);
+        slot_wait.max(self.token_wait(position, now))
     }
 
-    /// Returns how long the call at `place` waits for a token; 1 is the first place.
-    fn token_wait(&self, place: usize, now: Time) -> Duration {
-        let bucket = self.warm_up.filter(|bucket| bucket.is_in_force(now));
-        bucket.map_or(Duration::ZERO, |bucket| bucket.wait(place, now))
+    /// Returns how long the call at `position` in the queue, from 1, waits for a token.
+    fn token_wait(&self, position: usize, now: Time) -> Duration {
+        let bucket = self.warm_up.filter(|bucket| bucket.is_active(now));
+        bucket.map_or(Duration::ZERO, |bucket| bucket.wait(position, now))
     }
 
     fn take_token(&mut self, now: Time) -> bool {
-        let bucket = self.warm_up.as_mut().filter(|bucket| bucket.is_in_force(now));
+        let bucket = self.warm_up.as_mut().filter(|bucket| bucket.is_active(now));
         bucket.is_none_or(|bucket| bucket.take(now))
     }
 
-    fn give_token_back(&mut self) {
+    fn return_token(&mut self) {
         if let Some(bucket) = &mut self.warm_up {
             bucket.give_back();
         }
@@ -354,5 +344,5 @@
 }
 
 fn average(old: Duration, sample: Duration) -> Duration {
-    old.mul_f64(1.0 - SAMPLE_SHARE) + sample.mul_f64(SAMPLE_SHARE)
+    old.mul_f64(1.0 - SAMPLE_WEIGHT) + sample.mul_f64(SAMPLE_WEIGHT)
 }
--- a/crates/policy/src/budget.rs
+++ b/crates/policy/src/budget.rs
@@ -1,27 +1,25 @@
-//! A bound on repeated calls that holds for all nodes together without a word between them.
+//! Retry budget of the whole fleet, enforced by each node without coordination.
 //!
-//! The fleet may make, in any window, as many repeats as a share of its calls and a fixed slack.
-//! A share of the own calls sums to the same share of all calls; of the slack each node takes an
-//! equal part. The window slides: a repeat counts until it is as old as the window.
+//! Each node applies the ratio to its own calls and takes an equal part of the fixed slack.
 
 use model::time::Time;
 use std::{collections::VecDeque, time::Duration};
 
-/// Buckets into which a window is divided; the oldest counts whole until it is over, so that the
-/// bound errs towards fewer repeats.
+/// Buckets per window. The oldest bucket counts in full until all of it has left the window, which
+/// overestimates retries.
 const BUCKETS: u32 = 10;
 
 /// Settings of a [`Window`], for the whole fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// Length of the window.
+    /// Length of the sliding window.
     pub window: Duration,
-    /// Repeats for each call.
+    /// Retries allowed per call.
     pub ratio: f64,
-    /// Repeats beyond the ratio, of all nodes together.
+    /// Retries allowed in addition to the ratio, summed over all nodes.
     pub slack: f64,
-    /// Part of both that is used. The rest is kept for what no node can see: calls that a repeated
-    /// run makes count as repeats at the service that it calls.
+    /// Usable share of both. The rest covers retries that no node can count, such as nested calls
+    /// of a call that is run twice.
     pub usable_share: f64,
 }
 
@@ -38,19 +36,19 @@
     repeats: u32,
 }
 
-/// Calls and repeats of one node to one service.
+/// Sliding window of calls and retries of one node to one service.
 #[derive(Clone, Debug, Default)]
 pub struct Window {
     buckets: VecDeque<Bucket>,
 }
 
 impl Window {
-    /// Notes a call.
+    /// Counts a first attempt.
     pub fn record_call(&mut self, settings: &Settings, now: Time) {
         self.bucket(settings, now).calls += 1;
     }
 
-    /// Takes a repeat out of the budget; returns whether there was one.
+    /// Spends one retry; returns false if the budget is exhausted.
     ///
     /// ```
     /// use model::time::Time;
@@ -74,7 +72,7 @@
         true
     }
 
-    /// Returns the bucket of `now`, after dropping those that have left the window.
+    /// Drops the buckets that have left the window and returns the current one.
     fn bucket(&mut self, settings: &Settings, now: Time) -> &mut Bucket {
         let width = settings.window / BUCKETS;
         self.buckets.retain(|b| now.since(b.begin) < settings.window + width);
--- a/crates/policy/src/choice.rs
+++ b/crates/policy/src/choice.rs
@@ -1,9 +1,7 @@
-//! Choice of an upstream by the entry node.
+//! Power-of-two-choices load balancing at the entry node.
 //!
-//! Two upstreams are drawn at random and the one with less expected work is taken ("power of two
-//! choices"). The expected work is the own calls in flight times the latency seen, so that slow
-//! old hardware gets fewer calls than fast, and a silent upstream, whose calls pile up, gets hardly
-//! any. A global best choice would send the calls of all entry nodes to the same upstream at once.
+//! Of two random upstreams, the one with less expected work (own calls in flight times mean
+//! latency) is taken; a global minimum would send all entry nodes to the same upstream.
 
 use model::time::Time;
 use rand::{Rng, RngExt};
@@ -14,33 +12,34 @@
     retry::Kind,
 };
 
-/// Latency assumed of an upstream that has not answered yet, when none has.
-const LATENCY_GUESS: Duration = Duration::from_millis(1);
+/// Latency assumed where no candidate has a sample.
+const DEFAULT_LATENCY: Duration = Duration::from_millis(1);
 
-/// An upstream that could be chosen.
+/// An upstream that a call can be sent to.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate<'a> {
-    /// What was seen of it.
+    /// Observations of the upstream by this entry node.
     pub record: &'a Record,
-    /// Whether it is in the entry node's own data centre.
+    /// Whether it is in the entry node's data centre.
     pub local: bool,
     /// Whether this call was already offered to it.
     pub tried: bool,
 }
 
-/// Which upstreams of other data centres may be used.
+/// Data centres that a call may be sent to.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Reach {
-    /// None.
+    /// The entry node's data centre.
     LocalOnly,
-    /// All, when no upstream of the own data centre is able.
+    /// Other data centres too, if no local upstream is available.
     Failover,
 }
 
-/// Returns the index of the chosen candidate, or none where no untried one is left.
+/// Returns the index of the chosen candidate, or `None` if all candidates were tried.
 ///
-/// Own data centre before others, upstreams in good standing before ejected ones. Ejection never
-/// empties a service: where every upstream is ejected, the one whose ejection ends first is tried.
+/// Local upstreams come before remote ones, and available ones before ejected ones. If all are
+/// ejected, the one whose ejection ends first is used, so that a service is never without an
+/// upstream.
 pub fn choose(
     candidates: &[Candidate<'_>],
     reach: Reach,
@@ -54,18 +53,18 @@
         Reach::Failover => &[true, false],
     };
     for &local in pools {
-        let able =
+        let available =
             indices(candidates, |c| c.local == local && !c.tried && c.record.accepts(kind, now));
-        if let Some(index) = best_of_two(candidates, &able, slow_start, now, random) {
+        if let Some(index) = best_of_two(candidates, &available, slow_start, now, random) {
             return Some(index);
         }
     }
     for &local in pools {
         let ejected = indices(candidates, |c| c.local == local && !c.tried);
-        let soonest = ejected.into_iter().min_by_key(|&i| candidates[i].record.ejected_until());
-        if soonest.is_some() {
-            cov_mark::hit!(choice_takes_ejected);
-            return soonest;
+        let earliest = ejected.into_iter().min_by_key(|&i| candidates[i].record.ejected_until());
+        if earliest.is_some() {
+            cov_mark::hit!(choice_uses_ejected);
+            return earliest;
         }
     }
     None
@@ -77,25 +76,31 @@
 
 fn best_of_two(
     candidates: &[Candidate<'_>],
-    able: &[usize],
+    available: &[usize],
     slow_start: Duration,
     now: Time,
     random: &mut impl Rng,
 ) -> Option<usize> {
-    if able.len() < 2 {
-        return able.first().copied();
+    if available.len() < 2 {
+        return available.first().copied();
     }
-    let first = random.random_range(0..able.len());
-    let second = (first + random.random_range(1..able.len())) % able.len();
-    // A new upstream counts as average.
-    let guess = health::mean_latency(able.iter().map(|&i| candidates[i].record), now);
-    let guess = guess.unwrap_or(LATENCY_GUESS);
-    let score = |i: usize| expected_work(candidates[i].record, guess, slow_start, now);
-    let (a, b) = (able[first], able[second]);
+    let first = random.random_range(0..available.len());
+    let second = (first + random.random_range(1..available.len())) % available.len();
+    // Upstreams without a sample get the mean latency of the others.
+    let default_latency =
+        health::mean_latency(available.iter().map(|&i| candidates[i].record), now);
+    let default_latency = default_latency.unwrap_or(DEFAULT_LATENCY);
+    let score = |i: usize| expected_work(candidates[i].record, default_latency, slow_start, now);
+    let (a, b) = (available[first], available[second]);
     Some(if score(b) < score(a) { b } else { a })
 }
 
-fn expected_work(record: &Record, guess: Duration, slow_start: Duration, now: Time) -> f64 {
-    let latency = record.latency(now).unwrap_or(guess).as_secs_f64();
+fn expected_work(
+    record: &Record,
+    default_latency: Duration,
+    slow_start: Duration,
+    now: Time,
+) -> f64 {
+    let latency = record.latency(now).unwrap_or(default_latency).as_secs_f64();
     (record.in_flight() + 1) as f64 * latency / record.slow_start_weight(now, slow_start)
 }
--- a/crates/policy/src/claim.rs
+++ b/crates/policy/src/claim.rs
@@ -1,37 +1,35 @@
-//! The claim: the last decision before the first byte goes to the upstream.
+//! The claim: the last check at the serving node before the first byte goes to the upstream.
 //!
-//! Before the claim a lost call was provably not run; after it, only a whole answer tells. All
-//! reasons to refuse are therefore checked here, together, on the facts of this moment, whatever
-//! was checked when the request arrived. The idea of one fenced point after which a stale delivery
-//! cannot start work is that of "14. Workers", section "Admission and exact claim".
+//! A call lost before the claim was not run; after it, only a complete answer is proof. All reasons
+//! to refuse are checked here again, on current state.
 
 use model::time::Time;
 use std::time::Duration;
 
 use crate::outcome::Cause;
 
-/// What the serving node knows about a request at the moment of its claim.
+/// State of a request and its serving node at the time of the claim.
 #[derive(Clone, Copy, Debug)]
 pub struct Conditions {
-    /// The moment of the decision.
+    /// Current time.
     pub now: Time,
-    /// When the time for the call is over.
+    /// Deadline of the call.
     pub deadline: Time,
-    /// Whether the node was stopped between the request's sending and now, as far as it can tell.
+    /// Whether the request may have been sent before a pause of this process.
     pub paused: bool,
-    /// Whether the connection that the request came on is still open.
+    /// Whether the connection of the request is still open.
     pub connected: bool,
-    /// Whether the upstream is leaving.
+    /// Whether the upstream is leaving the fleet.
     pub leaving: bool,
-    /// Whether the request was meant for this life of the node.
+    /// Whether the request is addressed to the node's current incarnation.
     pub current_incarnation: bool,
-    /// Whether operators had the upstream's data centre evacuated.
+    /// Whether the upstream's data centre is evacuated by operators.
     pub evacuated: bool,
-    /// Whether upstreams ended under such requests, so that it must not run.
+    /// Whether the request is quarantined as a poison request.
     pub quarantined: bool,
 }
 
-/// Returns why the request may not be run, or nothing where it may.
+/// Returns the cause for which the request must not run, or `None` if it may.
 ///
 /// ```
 /// use model::time::Time;
@@ -45,19 +43,19 @@
 /// ```
 pub fn refusal(conditions: Conditions) -> Option<Cause> {
     if !conditions.current_incarnation {
-        // An entry node that still believes in the previous life of this address would otherwise
-        // reach an upstream of another service, or one that has forgotten the caller's session.
+        // The entry node has a stale view of this address: the previous incarnation may have served
+        // another service or held the caller's session.
         cov_mark::hit!(claim_replaced);
         return Some(Cause::Replaced);
     }
     if conditions.quarantined {
-        // The entry node may not have heard of it, or heard while the request waited here for a slot.
+        // The quarantine may have started while the request was on its way or in the queue.
         cov_mark::hit!(claim_quarantined);
         return Some(Cause::Quarantined);
     }
     if conditions.paused {
-        // A request read after a pause may have been given up on long ago; its caller was told
-        // "unknown" or has retried. Running it now would run a payment a second time.
+        // The request may be older than it seems: its caller may already have got "unknown" or
+        // retried, and running it would run a payment twice.
         cov_mark::hit!(claim_paused);
         return Some(Cause::Paused);
     }
@@ -66,7 +64,7 @@
         return Some(Cause::Late);
     }
     if !conditions.connected {
-        // The offering side closes its connection when it gives up or dies.
+        // The entry node closes the connection when it abandons the call or crashes.
         cov_mark::hit!(claim_cancelled);
         return Some(Cause::Cancelled);
     }
@@ -75,38 +73,37 @@
         return Some(Cause::Leaving);
     }
     if conditions.evacuated {
-        // The entry node may not have heard of the order, or heard while the request waited here.
+        // The evacuation may have started while the request was on its way or in the queue.
         cov_mark::hit!(claim_evacuated);
         return Some(Cause::Evacuated);
     }
     None
 }
 
-/// Share of the remaining time that a node keeps for itself when it passes a call on.
-const RESERVE_SHARE: u32 = 20;
+/// Divides the remaining time to give the part that a node reserves for itself.
+const RESERVE_DIVISOR: u32 = 20;
 
-/// Most time that a node keeps for itself.
-const RESERVE_MOST: Duration = Duration::from_millis(50);
+/// Upper bound of the reserved time.
+const MAX_RESERVE: Duration = Duration::from_millis(50);
 
-/// Returns the time that the next one down is told, of the `remaining` time for a call.
+/// Returns the timeout to send to the next hop, given the `remaining` time of the call.
 ///
-/// The next one must answer, or give up, before this one does: then its word ("late", "not run")
-/// arrives, and a retry is made at the lowest level that can make one. The reserve is small, since
-/// a call may pass 27 services.
+/// The next hop must answer or give up first, so that its refusal arrives in time and the retry
+/// happens at the lowest level that can make one. The reserve is small because a call may pass many
+/// services.
 ///
 /// ```
 /// use std::time::Duration;
-/// let told = policy::claim::forwarded_timeout(Duration::from_millis(200));
-/// assert_eq!(told.as_millis(), 190);
+/// let timeout = policy::claim::forwarded_timeout(Duration::from_millis(200));
+/// assert_eq!(timeout.as_millis(), 190);
 /// ```
 pub fn forwarded_timeout(remaining: Duration) -> Duration {
-    remaining - (remaining / RESERVE_SHARE).min(RESERVE_MOST)
+    remaining - (remaining / RESERVE_DIVISOR).min(MAX_RESERVE)
 }
 
-/// Returns the time of the deadline that arrives as `remaining` milliseconds, cut to `limit_ms`.
+/// Returns the deadline of a request received with `remaining_ms`, capped at `limit_ms`.
 ///
-/// The receiver's clock starts when the request's head is read. Time spent on the wire is not
-/// subtracted; each node answers within its own deadline, which lies before that of the sender.
+/// Time starts when the head of the request is read; time on the wire is not subtracted.
 pub fn deadline(received: Time, remaining_ms: Option<u64>, limit_ms: u64) -> Time {
     let ms = remaining_ms.unwrap_or(limit_ms).min(limit_ms);
     received + Duration::from_millis(ms)
--- a/crates/policy/src/client_retry.rs
+++ b/crates/policy/src/client_retry.rs
@@ -1,14 +1,7 @@
-//! Recognizes the next attempt of a caller who was refused.
+//! Recognizes retries by refused callers, which go before first attempts, by request fingerprint.
 //!
-//! Pattern: refused callers come back with a new id on a new connection. Their answer is due counted
-//! from the first attempt, so they must go before new callers, or they are refused a second time
-//! and have waited for nothing. The time that they have left tells who comes back only if all
-//! callers of a route start with the same time; where these differ by 15 in 100, nine of ten first
-//! attempts look like later ones, and the order among them is one of chance.
-//!
-//! A caller stays with its node, so the node remembers what it refused: method, host and target of
-//! the request, for as long as the caller can come back. Two callers who ask the same at the same
-//! time cannot be told apart; one of them is then taken for the other, which harms neither.
+//! A retry has a new request id and connection, and callers start with different timeouts, so
+//! neither tells them apart. Identical concurrent requests may be confused, which is harmless.
 
 use model::{request::Fingerprint, time::Time};
 use std::{
@@ -16,102 +9,100 @@
     time::Duration,
 };
 
-/// Most refused requests that are remembered; an entry takes about 60 bytes.
-///
-/// A node that refuses a hundred requests a second, each remembered for some seconds, stays under it.
-const ENTRIES_MOST: usize = 4_096;
+/// Upper bound of remembered refusals, at about 60 bytes each.
+const MAX_ENTRIES: usize = 4_096;
 
-/// Part of the time until a caller was to come back that has to pass: callers round and their
-/// timers are not exact.
-const PATIENCE: f64 = 0.8;
+/// Share of the `Retry-After` delay that must have passed; timers of callers are imprecise.
+const RETRY_TOLERANCE: f64 = 0.8;
 
-/// Which attempt of a caller a request is.
+/// Which attempt of its caller a request is.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Attempt {
-    /// The first, as far as is known.
+    /// First attempt, as far as the node knows.
     #[default]
     First,
-    /// A later one, made before the caller was asked to come back.
+    /// A retry before the `Retry-After` delay has passed.
     Early,
-    /// A later one, made when the caller was asked to come back, or after that.
+    /// A retry after the `Retry-After` delay.
     Retry,
 }
 
-/// A request that was refused.
+/// A refused request.
 #[derive(Clone, Copy, Debug)]
 struct Entry {
-    /// When the first attempt arrived.
-    begun: Time,
-    /// When the caller may come back.
-    due: Time,
-    /// When the caller's time is over.
+    /// Arrival of the first attempt.
+    first_arrival: Time,
+    /// Earliest time of a retry that honours `Retry-After`.
+    retry_at: Time,
+    /// End of the caller's timeout.
     until: Time,
 }
 
-/// Requests that were refused lately.
+/// Recently refused requests of a node.
 #[derive(Debug, Default)]
 pub struct History {
     entries: HashMap<Fingerprint, Entry>,
-    /// In the order in which they were noted, to forget the oldest first.
+    /// Insertion order with expiry times, for eviction.
     order: VecDeque<(Fingerprint, Time)>,
 }
 
 impl History {
-    /// Notes that a caller who has been asking since `begun` was refused at `now`, was asked to come
-    /// back after `after` and has time until `until`.
+    /// Records a refusal at `now` of a caller whose first attempt arrived at `first_arrival`, with a
+    /// `Retry-After` of `after` and a timeout that ends at `until`.
     pub fn record(
         &mut self,
         fingerprint: Fingerprint,
-        begun: Time,
+        first_arrival: Time,
         now: Time,
         after: Duration,
         until: Time,
     ) {
-        self.forget(now);
-        let due = now + after.mul_f64(PATIENCE);
-        self.entries.insert(fingerprint, Entry { begun, due, until });
+        self.evict(now);
+        let retry_at = now + after.mul_f64(RETRY_TOLERANCE);
+        self.entries.insert(fingerprint, Entry { first_arrival, retry_at, until });
         self.order.push_back((fingerprint, until));
     }
 
-    /// Returns which attempt a request is that arrives at `now`, and when the first one arrived.
+    /// Removes the refusal that matches a request at `now`; returns which attempt the request is
+    /// and when the first one arrived.
     ///
     /// ```
     /// use model::{request::Fingerprint, time::Time};
     /// use policy::client_retry::{Attempt, History};
     /// use std::time::Duration;
-    /// let (begun, until) = (Time::from_millis(0), Time::from_millis(900));
+    /// let (first_arrival, until) = (Time::from_millis(0), Time::from_millis(900));
     /// let mut history = History::default();
-    /// history.record(Fingerprint(7), begun, begun, Duration::from_millis(100), until);
+    /// history.record(Fingerprint(7), first_arrival, first_arrival, Duration::from_millis(100), until);
     /// let found = history.take(Fingerprint(7), Time::from_millis(110));
-    /// assert_eq!(found, (Attempt::Retry, begun));
+    /// assert_eq!(found, (Attempt::Retry, first_arrival));
     /// ```
     pub fn take(&mut self, fingerprint: Fingerprint, now: Time) -> (Attempt, Time) {
         match self.entries.remove(&fingerprint) {
             Some(entry) if now >= entry.until => (Attempt::First, now),
-            Some(entry) if now < entry.due => (Attempt::Early, entry.begun),
-            Some(entry) => (Attempt::Retry, entry.begun),
+            Some(entry) if now < entry.retry_at => (Attempt::Early, entry.first_arrival),
+            Some(entry) => (Attempt::Retry, entry.first_arrival),
             None => (Attempt::First, now),
         }
     }
 
-    /// Returns how many refused requests are remembered.
+    /// Returns the number of remembered refusals.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Tells whether no refused request is remembered.
+    /// Tells whether no refusal is remembered.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Drops what is over, and the oldest beyond the bound.
-    fn forget(&mut self, now: Time) {
+    /// Drops expired refusals and, beyond the bound, the oldest ones.
+    fn evict(&mut self, now: Time) {
         while let Some((fingerprint, until)) = self.order.front().copied() {
-            if until > now && self.order.len() < ENTRIES_MOST {
+            if until > now && self.order.len() < MAX_ENTRIES {
                 return;
             }
             self.order.pop_front();
-            // The entry may have been taken since, or noted anew with a later end.
+            // The entry may have been taken or recorded again with a later expiry.
             if self.entries.get(&fingerprint).is_some_and(|entry| entry.until <= until) {
                 self.entries.remove(&fingerprint);
             }
--- a/crates/policy/src/connection.rs
+++ b/crates/policy/src/connection.rs
@@ -1,14 +1,13 @@
-//! Whether a kept connection may carry a call.
+//! Whether an idle pooled connection may carry a call.
 //!
-//! Something between two ends can forget a connection without telling either: bytes sent on it
-//! vanish. A call on it is lost without an answer, and for a non-idempotent call the outcome stays
-//! unknown. A connection used a moment ago is very likely alive; an old one is replaced first.
+//! A middlebox can drop the state of an idle connection silently, and the outcome of a
+//! non-idempotent call sent on it would be unknown.
 
 use std::time::Duration;
 
 use crate::retry::Kind;
 
-/// What to do with a kept connection.
+/// What to do with a pooled connection.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Use {
     /// Send the call on it.
@@ -17,10 +16,10 @@
     Replace,
 }
 
-/// How many times longer than a non-idempotent call an idempotent one trusts a connection.
+/// How many times longer a connection may be idle for idempotent calls.
 const IDEMPOTENT_FACTOR: u32 = 6;
 
-/// Decides for a connection that was unused for `idle`, with the profile's bound `limit`.
+/// Decides on a connection that was `idle` for some time, given the profile's `limit`.
 ///
 /// ```
 /// use policy::connection::{Use, decide};
@@ -31,7 +30,7 @@
 pub fn decide(idle: Duration, limit: Duration, kind: Kind) -> Use {
     let bound = match kind {
         Kind::Once => limit,
-        // A lost idempotent call is repeated elsewhere, so an old connection costs it only time.
+        // A lost idempotent call is retried elsewhere, at the cost of latency only.
         Kind::Idempotent => limit * IDEMPOTENT_FACTOR,
     };
     if idle > bound { Use::Replace } else { Use::Reuse }
--- a/crates/policy/src/drain.rs
+++ b/crates/policy/src/drain.rs
@@ -1,62 +1,59 @@
-//! When a node that stops takes no more calls, and when it ends.
+//! Phases of a planned stop: when a node stops accepting calls and when its process ends.
 
 use std::time::Duration;
 
-/// Shortest time between the announcement that a node leaves and its end.
+/// Shortest time between the announcement of a stop and the end of the process.
 ///
-/// Entry nodes that have not heard of it yet still offer calls in this time and are told "not
-/// run"; after the end, an offer already written could only be answered "unknown".
+/// Entry nodes that have not yet received the announcement still offer calls and get "not run"; an
+/// offer written after the end would have an unknown outcome.
 pub const MIN_LEAVE_TIME: Duration = Duration::from_secs(1);
 
-/// A leaving node ends only after no offer has come for this long.
-const QUIET: Duration = Duration::from_millis(300);
+/// Time without calls in flight after which a node is idle.
+const MIN_IDLE: Duration = Duration::from_millis(300);
 
-/// Time between the close and the end of a node that has nothing in hand.
+/// Time between the close and the end of an idle node.
 ///
-/// Nothing was in hand either while the process stood still, and what came meanwhile is read as it
-/// wakes. Once closed it refuses such calls, which callers take elsewhere; ended, it would cut them.
-const CLOSED_QUIET: Duration = Duration::from_millis(100);
+/// Calls that arrived during a pause of the process are read and refused in this time instead of
+/// being broken off.
+const MIN_CLOSED_IDLE: Duration = Duration::from_millis(100);
 
-/// Time that calls in hand get in any case once no more are taken.
+/// Time that calls in flight get after the close, even past the limit.
 ///
-/// A process that stands still until its time is over wakes with calls in hand that upstreams work on,
-/// and takes more. Without this time it would end in the midst of them: a payment is told "unknown",
-/// and an answer that is ready is lost. Half a second is the time of most calls, and leaves a tenth of a
-/// grace time of five seconds.
-const CLOSED_LEAST: Duration = Duration::from_millis(500);
+/// A process that was paused until its limit may resume with calls in flight.
+const MIN_CLOSED_BUSY: Duration = Duration::from_millis(500);
 
-/// Times of a planned stop from the announcement on.
+/// Times of a planned stop, counted from its announcement.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
-    /// When calls of callers are no longer taken.
+    /// When the node stops accepting calls.
     pub close: Duration,
-    /// When the process ends, whatever is in hand.
+    /// When the process ends, even with calls in flight.
     pub limit: Duration,
 }
 
-/// How far a planned stop has come.
+/// Progress of a planned stop.
 #[derive(Clone, Copy, Debug)]
 pub struct Progress {
     /// Time since the announcement.
     pub elapsed: Duration,
-    /// Time since calls were taken last; none while they are.
+    /// Time since the node stopped accepting calls; `None` while it accepts them.
     pub closed: Option<Duration>,
-    /// Time since anything was in hand.
+    /// Time since a call was last in flight.
     pub idle: Duration,
 }
 
-/// What a stopping node does next.
+/// Next step of a stopping node.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Step {
-    /// It goes on.
+    /// Continue unchanged.
     Wait,
-    /// It takes no more calls of callers.
+    /// Stop accepting calls.
     Close,
-    /// It ends.
+    /// End the process.
     End,
 }
 
-/// Returns what a stopping node does next; it never ends before it has closed.
+/// Returns the next step of a stopping node; the close always precedes the end.
 ///
 /// ```
 /// use policy::drain::{Plan, Progress, Step, next_step};
@@ -69,12 +66,12 @@
 /// ```
 pub fn next_step(plan: Plan, progress: Progress) -> Step {
     let Progress { elapsed, closed, idle } = progress;
-    let is_quiet = elapsed >= MIN_LEAVE_TIME && idle >= QUIET;
+    let is_idle = elapsed >= MIN_LEAVE_TIME && idle >= MIN_IDLE;
     let Some(closed) = closed else {
-        let closes = is_quiet || elapsed >= plan.close.min(plan.limit);
+        let closes = is_idle || elapsed >= plan.close.min(plan.limit);
         return if closes { Step::Close } else { Step::Wait };
     };
-    let ends =
-        (is_quiet && closed >= CLOSED_QUIET) || (elapsed >= plan.limit && closed >= CLOSED_LEAST);
+    let ends = (is_idle && closed >= MIN_CLOSED_IDLE)
+        || (elapsed >= plan.limit && closed >= MIN_CLOSED_BUSY);
     if ends { Step::End } else { Step::Wait }
 }
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -1,7 +1,6 @@
-//! What an entry node has itself seen of one upstream.
+//! Passive health of an upstream at an entry node: outlier ejection, probation and slow start.
 //!
-//! Health and load endpoints lag or mislead; the outcomes of the node's own calls do not. The
-//! record of an upstream is made of those alone.
+//! It uses only the outcomes of own calls and the load reported with answers.
 
 use model::time::Time;
 use std::time::Duration;
@@ -11,66 +10,63 @@
     retry::Kind,
 };
 
-/// Share of a new sample in the moving average of latencies.
-const SAMPLE_SHARE: f64 = 0.2;
+/// Weight of a new sample in the moving averages of latency and slowness.
+const SAMPLE_WEIGHT: f64 = 0.2;
 
-/// Time without a call in which a latency loses half of its weight.
+/// Half-life of latency, slowness and failure share without new samples.
 pub const HALF_LIFE: Duration = Duration::from_secs(5);
 
-/// Share of a new sample in the moving share of failures.
-///
-/// At a tenth, an upstream that fails half of its calls shows after about five of them, and one
-/// failure in a thousand never does.
-const FAILURE_SAMPLE_SHARE: f64 = 0.1;
+/// Weight of a new sample in the moving failure share; a single failure has little effect.
+const FAILURE_SAMPLE_WEIGHT: f64 = 0.1;
 
-/// Time in which what a serving node told of its load loses half of its weight.
+/// Half-life of the load reported by a serving node.
 const LOAD_HALF_LIFE: Duration = Duration::from_millis(500);
 
-/// Failures in a row after which an upstream is ejected.
+/// Consecutive failures after which an upstream is ejected.
 const FAILURE_LIMIT: u32 = 3;
 
-/// First time for which an upstream is ejected; doubled each further time.
-const EJECTION_LEAST: Duration = Duration::from_millis(500);
+/// First ejection time; doubled with each further ejection.
+const MIN_EJECTION: Duration = Duration::from_millis(500);
 
-/// Longest time for which an upstream is ejected.
-const EJECTION_MOST: Duration = Duration::from_secs(10);
+/// Longest ejection time.
+const MAX_EJECTION: Duration = Duration::from_secs(10);
 
-/// After this time without an answer, calls that cannot be repeated may try an upstream again.
+/// Time after an ejection in which an upstream without an answer gets no non-idempotent calls.
 const PROBATION: Duration = Duration::from_secs(30);
 
-/// A new upstream's share of calls when its slow start begins.
-const SLOW_START_SHARE: f64 = 0.1;
+/// Weight of a new upstream at the beginning of its slow start.
+const MIN_SLOW_START_WEIGHT: f64 = 0.1;
 
-/// How a call to an upstream ended, as far as the upstream's health is concerned.
+/// Result of a call as evidence of the health of its upstream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Sample {
-    /// A whole answer after the given time.
+    /// Complete answer, with its latency.
     Answered(Duration),
-    /// The upstream refused work; it is alive.
+    /// The upstream or its node refused the call; it is alive.
     Refused,
-    /// No answer in the given time.
+    /// No answer within the given time.
     TimedOut(Duration),
-    /// A whole answer after the given time, by which the upstream says that it failed.
+    /// Complete answer with a server error, with its latency.
     ErrorAnswer(Duration),
-    /// A broken answer, or a broken connection.
+    /// Malformed answer or broken connection.
     Failed,
-    /// No connection: nobody is there.
+    /// No connection could be opened.
     Unreachable,
 }
 
 impl Sample {
-    /// Returns what a call without an answer shows, which ended with `outcome` after `time`.
+    /// Returns the sample for a call that ended with `outcome` and no answer after `time`.
     ///
     /// ```
     /// use policy::{health::Sample, outcome::Cause};
     /// use std::time::Duration;
-    /// let full = Cause::Overloaded.outcome();
-    /// assert_eq!(Sample::of_failure(full, Duration::ZERO), Sample::Refused);
+    /// let overloaded = Cause::Overloaded.outcome();
+    /// assert_eq!(Sample::of_failure(overloaded, Duration::ZERO), Sample::Refused);
     /// ```
     pub fn of_failure(outcome: Outcome, time: Duration) -> Sample {
         match outcome {
-            // A node that says it leaves, or that another life has replaced, is as good as absent
-            // until the view says the same.
+            // A node that is leaving or was replaced counts as unreachable until the view is
+            // updated.
             Outcome::NotRun(
                 Cause::Unreachable | Cause::Leaving | Cause::Replaced | Cause::Evacuated,
                 _,
@@ -82,7 +78,7 @@
     }
 }
 
-/// Own observations of one upstream.
+/// Observations of one upstream by an entry node.
 #[derive(Clone, Debug)]
 pub struct Record {
     known_since: Time,
@@ -97,28 +93,28 @@
     probation_until: Option<Time>,
     failure_share: f64,
     failure_at: Time,
-    /// Whether the last ejection was for want of a connection.
+    /// Whether the last ejection was due to a failed connection.
     unreachable: bool,
-    /// Calls of others that the serving node held when it last told.
-    others: f64,
-    /// Large bodies that were on their way to it, or waited, when it last told.
+    /// Calls of other entry nodes, as of the last load report.
+    other_calls: f64,
+    /// Large bodies in transfer or waiting for it, as of the last load report.
     bodies: f64,
-    others_at: Time,
+    load_at: Time,
 }
 
-/// Calls that a serving node holds, as it tells with each answer.
+/// Load of a serving node, reported with each answer.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Load {
-    /// Calls that its upstream works on.
+    /// Calls being processed by its upstream.
     pub busy: usize,
-    /// Calls that wait for a slot.
+    /// Calls waiting for a slot.
     pub waiting: usize,
-    /// Large bodies that cross its link or wait for their turn.
+    /// Large bodies in transfer on its link or waiting for it.
     pub bodies: usize,
 }
 
 impl Record {
-    /// Starts observing an upstream that became known at `now`.
+    /// Creates the record of an upstream that was added at `now`.
     pub fn new(now: Time) -> Self {
         Record {
             known_since: now,
@@ -134,24 +130,24 @@
             failure_share: 0.0,
             failure_at: now,
             unreachable: false,
-            others: 0.0,
+            other_calls: 0.0,
             bodies: 0.0,
-            others_at: now,
+            load_at: now,
         }
     }
 
-    /// Notes that a call goes to the upstream.
+    /// Counts a call that is sent to the upstream.
     pub fn begin(&mut self) {
         self.in_flight += 1;
     }
 
-    /// Notes how a call ended; returns whether that ejects the upstream.
+    /// Records the result of a call; returns whether it ejects the upstream.
     pub fn end(&mut self, now: Time, sample: Sample) -> Change {
         self.in_flight = self.in_flight.saturating_sub(1);
-        self.note_failure(sample, now);
+        self.record_failure(sample, now);
         match sample {
             Sample::Answered(latency) | Sample::ErrorAnswer(latency) => {
-                self.average(latency, now);
+                self.record_latency(latency, now);
                 self.failures = 0;
                 self.ejections = 0;
                 self.probation_until = None;
@@ -159,13 +155,13 @@
             }
             Sample::Refused => Change::None,
             Sample::TimedOut(waited) => {
-                // The time waited in vain counts as latency, so that the next calls go elsewhere
-                // even before the failures in a row are enough.
-                self.average(waited, now);
-                self.fail(now)
+                // The elapsed time is a lower bound of the latency and diverts calls before the
+                // failure limit is reached.
+                self.record_latency(waited, now);
+                self.record_consecutive_failure(now)
             }
-            Sample::Failed => self.fail(now),
-            // Nobody listens: no second call is needed to believe it.
+            Sample::Failed => self.record_consecutive_failure(now),
+            // A failed connection ejects at once, without further attempts.
             Sample::Unreachable => {
                 let change = self.eject(now);
                 self.unreachable = true;
@@ -174,52 +170,52 @@
         }
     }
 
-    /// Notes that a call took `ratio` times as long as calls of its route usually do.
+    /// Records that a call took `ratio` times the mean latency of its route.
     pub fn record_slowness(&mut self, ratio: f64, now: Time) {
         let old = self.slowness(now);
-        self.slowness = old + (ratio - old) * SAMPLE_SHARE;
+        self.slowness = old + (ratio - old) * SAMPLE_WEIGHT;
         self.slowness_at = now;
     }
 
-    /// Notes that a call was given up without any word about the upstream.
+    /// Ends a call without a result, for example one that its caller cancelled.
     pub fn abandon(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Notes that a call which was given up after `waited` was answered by another upstream.
+    /// Records that a call without an answer after `waited` was answered by another upstream.
     pub fn record_hedge_loss(&mut self, waited: Duration, now: Time) {
-        self.average(waited, now);
-        self.note_failure(Sample::TimedOut(waited), now);
+        self.record_latency(waited, now);
+        self.record_failure(Sample::TimedOut(waited), now);
     }
 
-    /// Takes note of what the serving node told with an answer to one of this node's calls, which
-    /// has been counted as ended.
+    /// Records the load that came with an answer, after [`end`](Record::end) of its call.
     pub fn update_load(&mut self, load: Load, now: Time) {
         let held = load.busy + load.waiting;
-        self.others = held.saturating_sub(self.in_flight) as f64;
+        self.other_calls = held.saturating_sub(self.in_flight) as f64;
         self.bodies = load.bodies as f64;
-        self.others_at = now;
+        self.load_at = now;
     }
 
-    /// Returns the calls that the upstream is expected to hold: the own ones, and those of others
-    /// as last told, which count less the older the word is.
+    /// Returns the expected number of calls at the upstream: the node's own calls in flight, and
+    /// the reported calls of others, which decay with age.
     pub fn expected_load(&self, now: Time) -> f64 {
-        self.in_flight as f64 + self.others * weight(self.others_at, now, LOAD_HALF_LIFE)
+        self.in_flight as f64 + self.other_calls * weight(self.load_at, now, LOAD_HALF_LIFE)
     }
 
-    /// Returns the large bodies that are expected to be on their way to the upstream, as last told;
-    /// the older the word, the less it counts.
+    /// Returns the expected number of large bodies in transfer to the upstream; the reported number
+    /// decays with age.
     pub fn expected_bodies(&self, now: Time) -> f64 {
-        self.bodies * weight(self.others_at, now, LOAD_HALF_LIFE)
+        self.bodies * weight(self.load_at, now, LOAD_HALF_LIFE)
     }
 
-    /// Returns the share of failures among the last calls; it halves for every [`HALF_LIFE`]
-    /// without a call.
+    /// Returns the moving share of failed calls; it decays by half in each [`HALF_LIFE`] without a
+    /// sample.
     pub fn failure_share(&self, now: Time) -> f64 {
         self.failure_share * weight(self.failure_at, now, HALF_LIFE)
     }
 
-    /// Ends an ejection early: the upstream's node has been heard of again.
+    /// Ends an ejection due to a failed connection, once the node of the upstream is reported alive
+    /// again.
     pub fn reinstate(&mut self, now: Time) {
         if self.ejected_until > now && self.unreachable {
             self.ejected_until = now;
@@ -228,16 +224,15 @@
         }
     }
 
-    /// Tells whether the upstream gets no calls at `now`.
+    /// Tells whether the upstream is ejected at `now`.
     pub fn is_ejected(&self, now: Time) -> bool {
         now < self.ejected_until
     }
 
     /// Tells whether the upstream may get a call of `kind` at `now`.
     ///
-    /// Once its ejection is over, an upstream is tried with one call at a time that can be
-    /// repeated, until it answers one: an upstream that is still frozen then costs a read some
-    /// time, and not a payment its outcome.
+    /// On probation after an ejection, an upstream gets one idempotent call at a time until it
+    /// answers one: if it is still unresponsive, that costs latency but leaves no outcome unknown.
     pub fn accepts(&self, kind: Kind, now: Time) -> bool {
         if self.is_ejected(now) {
             return false;
@@ -249,36 +244,38 @@
         }
     }
 
-    /// Returns for how long the upstream has been known.
+    /// Returns the time since the upstream was added.
     pub fn age(&self, now: Time) -> Duration {
         now.since(self.known_since)
     }
 
-    /// Returns when the ejection ends.
+    /// Returns the end of the last ejection.
     pub fn ejected_until(&self) -> Time {
         self.ejected_until
     }
 
-    /// Returns the calls on their way.
+    /// Returns the number of own calls in flight.
     pub fn in_flight(&self) -> usize {
         self.in_flight
     }
 
-    /// Returns the average latency seen, if any; it halves for every [`HALF_LIFE`] without a call.
+    /// Returns the moving average of latencies, if there is a sample; it decays by half in each
+    /// [`HALF_LIFE`] without one.
     ///
-    /// An upstream that was slow once and is avoided since would otherwise be avoided for ever.
+    /// The decay gives an upstream that was once slow new calls after some time.
     pub fn latency(&self, now: Time) -> Option<Duration> {
         let weight = weight(self.latency_at, now, HALF_LIFE);
         self.latency.map(|latency| latency.mul_f64(weight))
     }
 
-    /// Returns how many times as long as usual calls to the upstream take; the difference from 1
-    /// halves for every [`HALF_LIFE`] without a call.
+    /// Returns the moving ratio of latency to the mean of the route; its difference from 1 decays
+    /// by half in each [`HALF_LIFE`] without a sample.
     pub fn slowness(&self, now: Time) -> f64 {
         1.0 + (self.slowness - 1.0) * weight(self.slowness_at, now, HALF_LIFE)
     }
 
-    /// Returns the share of calls due to the upstream, from near 0 to 1, during its slow start.
+    /// Returns the weight of the upstream during slow start: rises from 0.1 to 1 within
+    /// `slow_start`.
     ///
     /// ```
     /// use model::time::Time;
@@ -292,50 +289,50 @@
             return 1.0;
         }
         let progress = age.as_secs_f64() / slow_start.as_secs_f64();
-        SLOW_START_SHARE + (1.0 - SLOW_START_SHARE) * progress
+        MIN_SLOW_START_WEIGHT + (1.0 - MIN_SLOW_START_WEIGHT) * progress
     }
 
-    fn average(&mut self, sample: Duration, now: Time) {
+    fn record_latency(&mut self, sample: Duration, now: Time) {
         let old = self.latency(now).unwrap_or(sample);
-        self.latency = Some(old.mul_f64(1.0 - SAMPLE_SHARE) + sample.mul_f64(SAMPLE_SHARE));
+        self.latency = Some(old.mul_f64(1.0 - SAMPLE_WEIGHT) + sample.mul_f64(SAMPLE_WEIGHT));
         self.latency_at = now;
     }
 
-    fn fail(&mut self, now: Time) -> Change {
+    fn record_consecutive_failure(&mut self, now: Time) -> Change {
         self.failures += 1;
         if self.failures >= FAILURE_LIMIT { self.eject(now) } else { Change::None }
     }
 
-    fn note_failure(&mut self, sample: Sample, now: Time) {
+    fn record_failure(&mut self, sample: Sample, now: Time) {
         let failed = match sample {
             Sample::Answered(_) => 0.0,
             Sample::ErrorAnswer(_) | Sample::TimedOut(_) | Sample::Failed => 1.0,
-            // Neither says how the upstream treats the calls that it takes.
+            // Refusals and failed connections say nothing about calls that run.
             Sample::Refused | Sample::Unreachable => return,
         };
         let old = self.failure_share(now);
-        self.failure_share = old + (failed - old) * FAILURE_SAMPLE_SHARE;
+        self.failure_share = old + (failed - old) * FAILURE_SAMPLE_WEIGHT;
         self.failure_at = now;
     }
 
     fn eject(&mut self, now: Time) -> Change {
         self.unreachable = false;
-        let doubled = EJECTION_LEAST * 2u32.pow(self.ejections.min(8));
+        let doubled = MIN_EJECTION * 2u32.pow(self.ejections.min(8));
         self.ejections += 1;
         self.failures = 0;
-        self.ejected_until = now + doubled.min(EJECTION_MOST);
+        self.ejected_until = now + doubled.min(MAX_EJECTION);
         self.probation_until = Some(now + PROBATION);
         Change::Ejected
     }
 }
 
-/// Returns the weight at `now` of what was seen at `since`: 1 at once, halved for each `half_life`.
+/// Returns the exponential decay factor at `now` of a sample taken at `since`.
 fn weight(since: Time, now: Time, half_life: Duration) -> f64 {
     let halvings = now.since(since).as_secs_f64() / half_life.as_secs_f64();
     (-halvings).exp2()
 }
 
-/// Returns the mean latency of those upstreams that have one.
+/// Returns the mean of the latencies of upstreams that have a sample.
 pub fn mean_latency<'a>(
     records: impl IntoIterator<Item = &'a Record>,
     now: Time,
@@ -345,11 +342,11 @@
     (!known.is_empty()).then(|| sum / known.len() as u32)
 }
 
-/// Whether an observation changed an upstream's standing.
+/// Effect of a sample on the ejection state.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Change {
-    /// It did not.
+    /// The state is unchanged.
     None,
-    /// The upstream is ejected from now on.
+    /// The upstream was ejected.
     Ejected,
 }
--- a/crates/policy/src/latency.rs
+++ b/crates/policy/src/latency.rs
@@ -1,27 +1,23 @@
-//! How long the calls of one route usually take, and what is unusually long.
+//! Latency and size estimates per route.
 //!
-//! Pattern: one service answers lookups of 80 ms and takes uploads of 700 ms. An average over both
-//! says of neither how long it takes: a lookup is thought to be late before it has begun, and an
-//! upstream that has just taken an upload is thought to be slow. So times are kept for each route,
-//! as a smoothed mean and a smoothed deviation, the way retransmission timers do (RFC 6298).
+//! Routes of one service differ widely in latency, so estimates are kept per route, as an
+//! exponentially weighted mean and deviation like those of retransmission timers (RFC 6298).
 
 use std::time::Duration;
 
-/// Part of a new sample in the mean; about the last thirty calls count.
-const MEAN_SHARE: f64 = 1.0 / 16.0;
+/// Weight of a new sample in the mean.
+const MEAN_WEIGHT: f64 = 1.0 / 16.0;
 
-/// Part of a new sample in the deviation.
-const DEVIATION_SHARE: f64 = 1.0 / 16.0;
+/// Weight of a new sample in the deviation.
+const DEVIATION_WEIGHT: f64 = 1.0 / 16.0;
 
-/// Deviations above the mean beyond which a call takes unusually long.
-///
-/// Of log-normal times of spread 0.5, 0.8 in 100 take longer, and of spread 0.8, 2.4 in 100.
-const UNUSUAL: f64 = 4.0;
+/// Mean deviations above the mean at which a latency is an outlier.
+const OUTLIER_DEVIATIONS: f64 = 4.0;
 
-/// Shortest mean that times are compared with, so that a time of zero does not divide.
-const MEAN_LEAST: Duration = Duration::from_micros(100);
+/// Lower bound of the mean in ratios; avoids division by zero.
+const MIN_MEAN: Duration = Duration::from_micros(100);
 
-/// Times of the calls of one route.
+/// Smoothed mean and deviation of the latencies of one route.
 #[derive(Clone, Copy, Debug)]
 pub struct Estimate {
     mean: Duration,
@@ -29,14 +25,14 @@
 }
 
 impl Estimate {
-    /// Begins with one call that took `sample`.
+    /// Creates an estimate from its first sample.
     pub fn new(sample: Duration) -> Self {
         Estimate { mean: sample, deviation: sample / 2 }
     }
 
-    /// Begins without any answer, for a call that is late after `due`.
+    /// Creates an estimate without samples for calls that are late after `due`.
     ///
-    /// A third of that time is taken for usual, so that all of it is unusual.
+    /// The mean is a third of `due`, so that `due` is the outlier threshold.
     ///
     /// ```
     /// use policy::latency::Estimate;
@@ -49,19 +45,19 @@
         Estimate::new(due / 3)
     }
 
-    /// Notes a call that was answered after `sample`.
+    /// Adds the latency of an answered call.
     pub fn record(&mut self, sample: Duration) {
-        let off = sample.abs_diff(self.mean);
-        self.deviation = smooth(self.deviation, off, DEVIATION_SHARE);
-        self.mean = smooth(self.mean, sample, MEAN_SHARE);
+        let error = sample.abs_diff(self.mean);
+        self.deviation = smooth(self.deviation, error, DEVIATION_WEIGHT);
+        self.mean = smooth(self.mean, sample, MEAN_WEIGHT);
     }
 
-    /// Returns the time that such calls usually take.
+    /// Returns the mean latency.
     pub fn mean(&self) -> Duration {
         self.mean
     }
 
-    /// Returns the time that hardly any of them takes.
+    /// Returns the latency above which a call is an outlier.
     ///
     /// ```
     /// use policy::latency::Estimate;
@@ -72,10 +68,10 @@
     /// assert!(latency.outlier_threshold() > ms(110) && latency.outlier_threshold() < ms(130));
     /// ```
     pub fn outlier_threshold(&self) -> Duration {
-        self.mean + self.deviation.mul_f64(UNUSUAL)
+        self.mean + self.deviation.mul_f64(OUTLIER_DEVIATIONS)
     }
 
-    /// Returns how many times as long as usual `time` is.
+    /// Returns `time` as a multiple of the mean latency.
     ///
     /// ```
     /// use policy::latency::Estimate;
@@ -84,26 +80,25 @@
     /// assert_eq!(latency.ratio(Duration::from_millis(160)), 2.0);
     /// ```
     pub fn ratio(&self, time: Duration) -> f64 {
-        time.as_secs_f64() / self.mean.max(MEAN_LEAST).as_secs_f64()
+        time.as_secs_f64() / self.mean.max(MIN_MEAN).as_secs_f64()
     }
 }
 
-/// How large the answers of one route usually are.
+/// Smoothed mean of the response sizes of one route.
 ///
-/// Bytes between data centres are scarcer than time; which calls should stay near by shows only in
-/// their answers.
+/// Placement uses it to keep calls with large responses in their data centre.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
     mean: f64,
 }
 
 impl Size {
-    /// Begins with one answer of `bytes`.
+    /// Creates an estimate from a first response of `bytes`.
     pub fn new(bytes: usize) -> Self {
         Size { mean: bytes as f64 }
     }
 
-    /// Notes an answer of `bytes`.
+    /// Adds a response of `bytes`.
     ///
     /// ```
     /// let mut size = policy::latency::Size::new(4_000);
@@ -111,15 +106,15 @@
     /// assert_eq!(size.mean(), 4_250);
     /// ```
     pub fn record(&mut self, bytes: usize) {
-        self.mean += (bytes as f64 - self.mean) * MEAN_SHARE;
+        self.mean += (bytes as f64 - self.mean) * MEAN_WEIGHT;
     }
 
-    /// Returns the bytes that such answers usually have.
+    /// Returns the mean response size in bytes.
     pub fn mean(&self) -> usize {
         self.mean as usize
     }
 }
 
-fn smooth(old: Duration, sample: Duration, share: f64) -> Duration {
-    old.mul_f64(1.0 - share) + sample.mul_f64(share)
+fn smooth(old: Duration, sample: Duration, weight: f64) -> Duration {
+    old.mul_f64(1.0 - weight) + sample.mul_f64(weight)
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,8 +1,8 @@
-//! Decisions about one call: admission, claim, choice of upstream, retry, outcome.
+//! Decisions about one call: admission, claim, choice of upstream, retry and outcome.
 //!
-//! This crate exists so that what a call may and may not do is decided by pure functions and small
-//! state machines that tests drive with a virtual clock. It performs no I/O, starts no threads and
-//! reads no clock; it must not know HTTP, sockets or the peer protocol. It is not an API border.
+//! Pure functions and small state machines that tests drive with a virtual clock. This crate
+//! performs no I/O, starts no threads and reads no clock; it must not depend on HTTP, sockets or
+//! the peer protocol. It is not an API boundary.
 
 pub mod admission;
 pub mod budget;
--- a/crates/policy/src/outcome.rs
+++ b/crates/policy/src/outcome.rs
@@ -1,71 +1,69 @@
-//! The three outcomes of a call, and which loss leads to which.
+//! Outcomes of a call, and the outcome that each kind of loss leads to.
 //!
-//! A caller acts on the outcome: it repeats a payment only when told that it was not run. Every
-//! step at which a call can be lost is therefore listed in [`Step`], every way of losing it in
-//! [`Loss`], and [`of_loss`] gives the one outcome that is true for the pair.
+//! Callers repeat a non-idempotent call only if told that it was not run.
 
 use std::{fmt, time::Duration};
 
 /// Why a call was provably not run.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Cause {
-    /// The service is not in the configuration, or no configuration is in force.
+    /// The service is not in the configuration, or no configuration is active.
     UnknownService,
-    /// The node holds no configuration yet.
+    /// The node has no configuration yet.
     Unready,
-    /// The configuration that the node holds does not name the service or route, but a newer one is
-    /// in force elsewhere, which may.
+    /// The node's configuration lacks the service or route, and a newer version is active
+    /// elsewhere.
     Outdated,
-    /// The service has no upstream that may take work.
+    /// The service has no upstream that accepts calls.
     NoUpstream,
-    /// Slots and queue of the upstream are full, or the queue is longer than the time left.
+    /// No slot of the upstream will be free before the deadline, or its queue is full.
     Overloaded,
-    /// The upstream itself refused before beginning the work.
+    /// The upstream refused the call before running it.
     Refused,
-    /// The upstream is leaving.
+    /// The upstream is leaving the fleet.
     Leaving,
-    /// The upstream or its node could not be connected to.
+    /// No connection to the upstream or its node could be opened.
     Unreachable,
-    /// The time for the call was over before it was claimed.
+    /// The deadline passed before the claim.
     Late,
-    /// The caller went away before the call was claimed.
+    /// The caller disconnected before the claim.
     Cancelled,
-    /// The node was paused and cannot tell how old the request is.
+    /// The node was paused, so the age of the request is unknown.
     Paused,
-    /// The address now belongs to another life of the node.
+    /// The address belongs to another incarnation of the node.
     Replaced,
-    /// The node holds as many calls as it may.
+    /// The limit of calls in flight of the node is reached.
     Saturated,
-    /// Upstreams ended under such requests; it is not run for a while.
+    /// The request is quarantined as a poison request.
     Quarantined,
-    /// Operators had the data centre of the upstream evacuated.
+    /// The data centre of the upstream is evacuated by operators.
     Evacuated,
-    /// The request itself is not acceptable: cut short, too large, too slow or malformed.
+    /// The request is truncated, too large, too slow or malformed.
     BadRequest,
 }
 
-/// Why it is not known whether a call was run.
+/// Why it is unknown whether a call was run.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Doubt {
-    /// The connection broke after the request was passed on.
+    /// The connection broke after the request was sent.
     Broken,
-    /// No answer came in time.
+    /// No answer arrived in time.
     Timeout,
-    /// The answer was cut short, too large, or belonged to another request.
+    /// The answer was truncated, too large, or belonged to another request.
     BadAnswer,
 }
 
-/// What a caller is told about a call that has no answer.
+/// Outcome that the caller of an unanswered call is told.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// The call was not run and may be repeated after the given time.
+    /// The call was not run and may be retried after the given delay.
     NotRun(Cause, Duration),
-    /// The call may or may not have run.
+    /// The call may or may not have been run.
     Unknown(Doubt),
 }
 
 impl Outcome {
-    /// Returns the name of the cause or doubt.
+    /// Returns the name of the cause or doubt on the wire.
     pub fn reason(self) -> &'static str {
         match self {
             Outcome::NotRun(cause, _) => cause.name(),
@@ -73,9 +71,9 @@
         }
     }
 
-    /// Returns the outcome of a call whose attempts ended with `earlier` and then with this one.
+    /// Combines the outcome of the last attempt with that of an `earlier` one.
     ///
-    /// If one attempt may have run, "not run" of a later one does not make the call not run.
+    /// If any attempt may have run, a later "not run" does not change that.
     ///
     /// ```
     /// use policy::outcome::{Cause, Doubt, Outcome};
@@ -90,45 +88,45 @@
     }
 }
 
-/// A step of a call at which it can be lost.
+/// Step of a call at which it can be lost.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Step {
-    /// The entry node is receiving the request.
+    /// The entry node receives the request.
     Receive,
-    /// The entry node is connecting to the serving node.
+    /// The entry node connects to the serving node.
     Connect,
-    /// The entry node has begun to send the request to the serving node.
+    /// The entry node sends the request to the serving node.
     Offer,
-    /// The request waits at the serving node for a slot.
+    /// The request waits for a slot at the serving node.
     Queue,
-    /// The serving node is connecting to the upstream.
+    /// The serving node connects to the upstream.
     Dial,
-    /// The first byte may have gone to the upstream.
+    /// The upstream may have received the first byte.
     Run,
-    /// The answer is on its way back.
+    /// The answer is being sent back.
     Answer,
 }
 
-/// Every step, in the order in which a call passes them.
+/// All steps in the order of a call.
 pub const STEPS: [Step; 7] =
     [Step::Receive, Step::Connect, Step::Offer, Step::Queue, Step::Dial, Step::Run, Step::Answer];
 
-/// A way in which a call is lost at a step.
+/// Way in which a call is lost at a step.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Loss {
-    /// The other side refuses with its own word.
+    /// The peer refuses the call explicitly.
     Refusal(Cause),
-    /// The other side closes or resets the connection.
+    /// The peer closes or resets the connection.
     Closed,
-    /// The other side is silent until the time is over.
+    /// The peer does not respond before the deadline.
     Timeout,
-    /// What arrives is not a whole message of this call.
+    /// The peer sends something that is not a complete message of this call.
     Malformed,
 }
 
-/// Returns what is true of a call that was lost at `step` by `loss`.
+/// Returns the outcome of a call that was lost at `step` by `loss`.
 ///
-/// | step | refusal | closed | silent | garbled |
+/// | step | refusal | closed | timeout | malformed |
 /// |---|---|---|---|---|
 /// | receive | not run | not run | not run | not run |
 /// | connect | not run | not run | not run | not run |
@@ -137,32 +135,32 @@
 /// | run | not run | unknown | unknown | unknown |
 /// | answer | unknown | unknown | unknown | unknown |
 ///
-/// Receive, connect: nobody but the entry node holds the request. Offer: from the first byte on, the
-/// serving node may hold it, and only that node's word proves that it was not claimed. Queue, dial:
-/// the serving node speaks of itself and has sent the upstream nothing. Run: only an upstream that
-/// its profile trusts to say so refuses before working. Answer: work was done, by whatever half.
+/// Receive, connect: only the entry node has the request. Offer: the serving node may have it from
+/// the first byte on, and only its refusal proves that there was no claim. Queue, dial: nothing was
+/// sent to the upstream. Run: a refusal counts only if the profile trusts the upstream to refuse
+/// before it runs the call. Answer: the call was run, at least in part.
 ///
 /// ```
 /// use policy::outcome::{Doubt, Loss, Outcome, Step, of_loss};
 /// assert_eq!(of_loss(Step::Run, Loss::Closed), Outcome::Unknown(Doubt::Broken));
 /// ```
 pub fn of_loss(step: Step, loss: Loss) -> Outcome {
-    let unclaimed = matches!(step, Step::Receive | Step::Connect | Step::Queue | Step::Dial);
+    let is_unclaimed = matches!(step, Step::Receive | Step::Connect | Step::Queue | Step::Dial);
     match loss {
         Loss::Refusal(cause) if step != Step::Answer => cause.outcome(),
-        Loss::Closed | Loss::Malformed if unclaimed => cause_of(step).outcome(),
-        Loss::Timeout if unclaimed => silence_of(step).outcome(),
+        Loss::Closed | Loss::Malformed if is_unclaimed => loss_cause(step).outcome(),
+        Loss::Timeout if is_unclaimed => timeout_cause(step).outcome(),
         Loss::Closed => Outcome::Unknown(Doubt::Broken),
         Loss::Timeout => Outcome::Unknown(Doubt::Timeout),
         Loss::Malformed | Loss::Refusal(_) => Outcome::Unknown(Doubt::BadAnswer),
     }
 }
 
-fn silence_of(step: Step) -> Cause {
-    if step == Step::Queue { Cause::Late } else { cause_of(step) }
+fn timeout_cause(step: Step) -> Cause {
+    if step == Step::Queue { Cause::Late } else { loss_cause(step) }
 }
 
-fn cause_of(step: Step) -> Cause {
+fn loss_cause(step: Step) -> Cause {
     match step {
         Step::Receive => Cause::BadRequest,
         Step::Queue => Cause::Cancelled,
@@ -171,37 +169,37 @@
 }
 
 impl Cause {
-    /// Returns when a caller should come back, where nothing more precise is known.
+    /// Returns the default `Retry-After` of this cause.
     ///
-    /// A cause that another upstream or a moment can cure asks for little patience; one that only
-    /// an operator or the platform can cure asks for more.
+    /// It is short if another upstream or a moment can resolve the cause, and longer if an operator
+    /// or the platform has to.
     pub fn retry_after(self) -> Duration {
         match self {
-            Cause::Leaving | Cause::Paused | Cause::Replaced | Cause::Cancelled => BRIEF,
+            Cause::Leaving | Cause::Paused | Cause::Replaced | Cause::Cancelled => SHORT_DELAY,
             Cause::Unready
             | Cause::Outdated
             | Cause::Unreachable
             | Cause::Overloaded
             | Cause::Refused
-            | Cause::Saturated => MODERATE,
+            | Cause::Saturated => MEDIUM_DELAY,
             Cause::UnknownService
             | Cause::NoUpstream
             | Cause::Late
             | Cause::Evacuated
             | Cause::Quarantined
-            | Cause::BadRequest => LONG,
+            | Cause::BadRequest => LONG_DELAY,
         }
     }
 
-    /// Returns the outcome of a call that was not run for this cause.
+    /// Returns the "not run" outcome with this cause and its default `Retry-After`.
     pub fn outcome(self) -> Outcome {
         Outcome::NotRun(self, self.retry_after())
     }
 }
 
-const BRIEF: Duration = Duration::from_millis(100);
-const MODERATE: Duration = Duration::from_millis(500);
-const LONG: Duration = Duration::from_secs(2);
+const SHORT_DELAY: Duration = Duration::from_millis(100);
+const MEDIUM_DELAY: Duration = Duration::from_millis(500);
+const LONG_DELAY: Duration = Duration::from_secs(2);
 
 /// Names of causes on the wire and in metrics.
 const CAUSES: [(Cause, &str); 16] = [
@@ -224,12 +222,12 @@
 ];
 
 impl Cause {
-    /// Returns the name used on the wire and in metrics.
+    /// Returns the name on the wire and in metrics.
     pub fn name(self) -> &'static str {
         CAUSES.iter().find(|(cause, _)| *cause == self).map_or("", |(_, name)| name)
     }
 
-    /// Finds a cause by its name on the wire.
+    /// Parses a name from the wire.
     ///
     /// ```
     /// use policy::outcome::Cause;
@@ -241,7 +239,7 @@
 }
 
 impl Doubt {
-    /// Returns the name used on the wire and in metrics.
+    /// Returns the name on the wire and in metrics.
     pub fn name(self) -> &'static str {
         match self {
             Doubt::Broken => "broken",
@@ -250,7 +248,7 @@
         }
     }
 
-    /// Finds a doubt by its name on the wire.
+    /// Parses a name from the wire.
     pub fn parse(name: &str) -> Option<Doubt> {
         [Doubt::Broken, Doubt::Timeout, Doubt::BadAnswer].into_iter().find(|d| d.name() == name)
     }
--- a/crates/policy/src/pause.rs
+++ b/crates/policy/src/pause.rs
@@ -1,8 +1,7 @@
-//! Detection of pauses of the own process.
+//! Detects pauses of this process, such as SIGSTOP or a suspended virtual machine.
 //!
-//! A process that is stopped and continued finds requests in its socket buffers whose age it
-//! cannot tell, since the time they still had was measured before the pause. A timer that should
-//! fire every few milliseconds shows the pause as a gap.
+//! After a pause, the age of requests in socket buffers is unknown, because their remaining time
+//! was computed before it. A pause shows as a gap between two ticks of a periodic timer.
 
 use model::time::Time;
 use std::time::Duration;
@@ -10,9 +9,9 @@
 /// Settings of a [`Detector`].
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// A gap between two beats longer than this is a pause.
+    /// Gap between two ticks above which the process was paused.
     pub gap: Duration,
-    /// For this long after a pause, received requests may have waited in socket buffers.
+    /// Time after a pause in which received requests may come from socket buffers.
     pub stale_window: Duration,
 }
 
@@ -22,14 +21,14 @@
     }
 }
 
-/// A span in which the process did not run.
+/// A time span in which the process did not run.
 #[derive(Clone, Copy, Debug)]
 struct Pause {
     began: Time,
-    woke: Time,
+    ended: Time,
 }
 
-/// The last beat and the last pause.
+/// Detects gaps between the ticks of a periodic timer.
 #[derive(Clone, Copy, Debug)]
 pub struct Detector {
     settings: Settings,
@@ -38,12 +37,12 @@
 }
 
 impl Detector {
-    /// Starts with a beat at `now`.
+    /// Creates a detector with a first tick at `now`.
     pub fn new(settings: Settings, now: Time) -> Self {
         Detector { settings, last_tick: now, last: None }
     }
 
-    /// Notes a beat and returns the length of the pause that it ends, if any.
+    /// Records a tick; returns the length of the pause that it ends, if any.
     ///
     /// ```
     /// use model::time::Time;
@@ -59,19 +58,19 @@
         if gap <= self.settings.gap {
             return None;
         }
-        self.last = Some(Pause { began, woke: now });
+        self.last = Some(Pause { began, ended: now });
         Some(gap)
     }
 
-    /// Tells whether a request whose head was read at `received` may have waited through a pause.
+    /// Tells whether a request whose head was read at `received` may have waited during a pause.
     ///
-    /// The traffic threads may run before the thread that beats, so a beat that is overdue at
-    /// `now` counts as a pause as well. A request read before the pause is not in doubt: its
-    /// deadline was fixed then and has gone on counting.
+    /// Other threads may resume before the one that ticks, so an overdue tick counts as a pause.
+    /// Requests read before the pause are not affected: their deadlines were already fixed.
     pub fn may_be_stale(&self, received: Time, now: Time) -> bool {
-        let overdue = now.since(self.last_tick) > self.settings.gap && received >= self.last_tick;
-        let woken =
-            |p: Pause| p.began <= received && received <= p.woke + self.settings.stale_window;
-        overdue || self.last.is_some_and(woken)
+        let is_overdue =
+            now.since(self.last_tick) > self.settings.gap && received >= self.last_tick;
+        let spans =
+            |p: Pause| p.began <= received && received <= p.ended + self.settings.stale_window;
+        is_overdue || self.last.is_some_and(spans)
     }
 }
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -1,7 +1,7 @@
-//! Whether a call that failed at one upstream is offered to another.
+//! Retries and hedged requests at the entry node.
 //!
-//! Only the entry node retries, so each call is retried at one place per hop. A budget bounds the
-//! retries that add load, so that a failing service does not get a multiple of its usual calls.
+//! Only the entry node retries, so there is one retry point per hop. A retry budget bounds the
+//! retries that add load to a failing service.
 
 use model::time::Time;
 use std::time::Duration;
@@ -11,13 +11,13 @@
     outcome::{Cause, Doubt, Outcome},
 };
 
-/// Retries that a quiet service may make before its first calls have earned any.
-const BALANCE_START: f64 = 10.0;
+/// Initial retries of a service without calls.
+const INITIAL_BALANCE: f64 = 10.0;
 
-/// Most retries that can be saved up.
-const BALANCE_MOST: f64 = 100.0;
+/// Upper bound of saved retries.
+const MAX_BALANCE: f64 = 100.0;
 
-/// Retries earned by first attempts, per service and entry node.
+/// Retry budget per service and entry node, filled by first attempts.
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
     balance: f64,
@@ -25,17 +25,17 @@
 
 impl Default for Budget {
     fn default() -> Self {
-        Budget { balance: BALANCE_START }
+        Budget { balance: INITIAL_BALANCE }
     }
 }
 
 impl Budget {
-    /// Notes a first attempt, which earns `percent` hundredths of a retry.
+    /// Counts a first attempt, which adds `percent` hundredths of a retry.
     pub fn earn(&mut self, percent: u32) {
-        self.balance = (self.balance + f64::from(percent) / 100.0).min(BALANCE_MOST);
+        self.balance = (self.balance + f64::from(percent) / 100.0).min(MAX_BALANCE);
     }
 
-    /// Takes one retry out of the budget; returns whether there was one.
+    /// Spends one retry; returns false if the budget is exhausted.
     ///
     /// ```
     /// let mut budget = policy::retry::Budget::default();
@@ -51,92 +51,91 @@
     }
 }
 
-/// What the entry node knows of a call before an attempt.
+/// State of a call before an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct CallState {
-    /// The moment of the decision.
+    /// Current time.
     pub now: Time,
-    /// When the time for the call is over.
+    /// Deadline of the call.
     pub deadline: Time,
-    /// Whether the node was stopped since the call arrived, as far as it can tell.
+    /// Whether the process may have been paused since the call arrived.
     pub paused: bool,
     /// Whether the caller's connection is still open.
     pub connected: bool,
 }
 
-/// Returns why no attempt makes sense any more, or nothing where one does.
+/// Returns the cause for which no further attempt is made, or `None`.
 ///
-/// Unlike the claim, which asks the same at the upstream, it names a call late that is both late and
-/// in doubt: it was not run, and all of its time has passed here.
+/// Unlike [`claim::refusal`](crate::claim::refusal), it checks the deadline before the pause: the
+/// call was not run, and its time has passed at this node.
 ///
 /// ```
 /// use model::time::Time;
 /// use policy::{outcome::Cause, retry::{CallState, stop_cause}};
 /// let at = Time::from_millis;
-/// let moment = CallState { now: at(9), deadline: at(10), paused: false, connected: true };
-/// assert_eq!(stop_cause(moment), None);
-/// assert_eq!(stop_cause(CallState { now: at(10), ..moment }), Some(Cause::Late));
+/// let call = CallState { now: at(9), deadline: at(10), paused: false, connected: true };
+/// assert_eq!(stop_cause(call), None);
+/// assert_eq!(stop_cause(CallState { now: at(10), ..call }), Some(Cause::Late));
 /// ```
-pub fn stop_cause(moment: CallState) -> Option<Cause> {
-    if moment.now >= moment.deadline {
+pub fn stop_cause(call: CallState) -> Option<Cause> {
+    if call.now >= call.deadline {
         return Some(Cause::Late);
     }
-    if moment.paused {
+    if call.paused {
         return Some(Cause::Paused);
     }
-    (!moment.connected).then_some(Cause::Cancelled)
+    (!call.connected).then_some(Cause::Cancelled)
 }
 
-/// What to do after a failed attempt.
+/// Action after a failed attempt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Step {
     /// Offer the call to another upstream.
     Retry,
-    /// Tell the caller the outcome now.
+    /// Return the outcome to the caller.
     GiveUp,
 }
 
 /// A failed attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempt {
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// Whether the call may be run more than once.
+    /// Whether the call may run more than once.
     pub kind: Kind,
-    /// Attempts made so far, this one included.
+    /// Attempts so far, including this one.
     pub made: u32,
-    /// Most attempts that the profile allows.
+    /// Upper bound of attempts, from the profile.
     pub limit: u32,
 }
 
-/// Decides on a failed attempt; the caller has checked that time is left.
+/// Decides whether to retry a failed attempt; the caller checks the deadline.
 ///
-/// A call whose outcome is unknown is repeated only if it is idempotent: for any other, a second
-/// run could post a payment twice.
+/// A call with an unknown outcome is retried only if it is idempotent.
 pub fn decide(attempt: Attempt, budget: &mut Budget) -> Step {
     if attempt.made >= attempt.limit {
         return Step::GiveUp;
     }
-    let safe = match attempt.outcome {
-        Outcome::NotRun(cause, _) => is_curable(cause),
+    let is_safe = match attempt.outcome {
+        Outcome::NotRun(cause, _) => is_retryable(cause),
         Outcome::Unknown(_) => attempt.kind == Kind::Idempotent,
     };
-    if !safe {
+    if !is_safe {
         cov_mark::hit!(retry_unsafe);
         return Step::GiveUp;
     }
-    if !loads_upstream(attempt.outcome) || budget.spend() {
+    if !adds_load(attempt.outcome) || budget.spend() {
         return Step::Retry;
     }
     cov_mark::hit!(retry_budget_spent);
     Step::GiveUp
 }
 
-/// Decides on a failed attempt under a budget that counts what reaches upstreams.
+/// Decides whether to retry, counting only attempts that may have reached an upstream.
 ///
-/// `made` and `limit` count upstreams that the call may have reached: a refusal by a serving node's
-/// own state costs its upstream nothing, so another one is tried freely. `spend` takes a repeat out
-/// of the budget and tells whether there was one.
+/// `made` and `limit` count such attempts. A refusal by a serving node puts no load on its
+/// upstream, so trying another one is free. `spend` takes one retry from the budget and returns
+/// false if it is exhausted.
 ///
 /// ```
 /// use policy::{outcome::Cause, retry::{Attempt, Kind, Step, decide_reached}};
@@ -144,11 +143,11 @@
 /// assert_eq!(decide_reached(refused, || false), Step::Retry);
 /// ```
 pub fn decide_reached(attempt: Attempt, spend: impl FnOnce() -> bool) -> Step {
-    let safe = match attempt.outcome {
-        Outcome::NotRun(cause, _) => is_curable(cause),
+    let is_safe = match attempt.outcome {
+        Outcome::NotRun(cause, _) => is_retryable(cause),
         Outcome::Unknown(_) => attempt.kind == Kind::Idempotent,
     };
-    if !safe {
+    if !is_safe {
         return Step::GiveUp;
     }
     if attempt.made == 0 {
@@ -160,13 +159,10 @@
     Step::Retry
 }
 
-/// Most nodes that one call is offered to under such a budget, whether its upstream sees it or not.
-///
-/// Each refusal costs a round trip of about 2 ms; four of them stay within an eighth of the
-/// shortest objectives, 100 ms.
-const OFFERS_MOST: usize = 4;
+/// Upper bound of serving nodes that one call is offered to.
+const MAX_OFFERS: usize = 4;
 
-/// Tells whether a call that was offered to so many nodes may be offered to one more.
+/// Tells whether a call with so many offers may be offered once more.
 ///
 /// ```
 /// use policy::retry::may_offer;
@@ -174,10 +170,10 @@
 /// assert!(!may_offer(4));
 /// ```
 pub fn may_offer(offers: usize) -> bool {
-    offers < OFFERS_MOST
+    offers < MAX_OFFERS
 }
 
-/// Tells whether the upstream itself may have seen the call.
+/// Tells whether the call may have reached the upstream.
 pub fn may_have_reached_upstream(outcome: Outcome) -> bool {
     match outcome {
         Outcome::NotRun(cause, _) => matches!(cause, Cause::Refused | Cause::Replaced),
@@ -185,13 +181,11 @@
     }
 }
 
-/// Returns how long the entry node waits for the next attempt, out of the `remaining` time.
+/// Returns the timeout of the next attempt, out of the `remaining` time of the call.
 ///
-/// Only its own patience is divided: the deadline that is passed on is not, or a call that passes
-/// 27 services would have a millionth of its time left at the last. An attempt that is given up is
-/// cancelled by closing its connection. An upstream that is frozen or behind a silent connection answers nothing at all. An idempotent
-/// call therefore gives each attempt an equal share, so that time is left for another upstream; a
-/// call that cannot be repeated gives its one attempt everything.
+/// Idempotent calls divide the remaining time equally, which leaves time for another upstream if
+/// one is unresponsive; others spend all of it on their single attempt. The deadline sent to the
+/// next hop is not divided, since that would compound over many hops.
 ///
 /// ```
 /// use policy::retry::{Kind, attempt_timeout};
@@ -207,73 +201,74 @@
     }
 }
 
-/// What holds of an attempt that has been silent so far.
+/// Outcome of an attempt without an answer so far.
 pub const TIMED_OUT: Outcome = Outcome::Unknown(Doubt::Timeout);
 
-/// Share of failures from which on a silent upstream is thought to have lost the answer.
-///
-/// One lost answer makes a tenth, two in a row a fifth; a single slow call does not.
-const LOSING: f64 = 0.15;
+/// Failure share above which a missing answer is assumed lost; two lost answers in a row exceed it.
+const LOSS_THRESHOLD: f64 = 0.15;
 
-/// Times the usual time that an upstream which loses answers is given in any case.
-const LOSING_LEAST: f64 = 1.5;
+/// Least time given to an upstream that loses answers, as a multiple of the mean latency.
+const MIN_LOSS_FACTOR: f64 = 1.5;
 
-/// What is known when a first attempt is made.
+/// State of a first attempt that may be hedged.
 #[derive(Clone, Copy, Debug)]
 pub struct Hedge {
-    /// Time that calls of the route take.
+    /// Latency estimate of the route.
     pub latency: Estimate,
-    /// How many times as long as usual calls to the upstream take.
+    /// Latency of the upstream relative to the route.
     pub slowness: f64,
-    /// Share of failures among the last calls to the upstream.
+    /// Moving share of failed calls of the upstream.
     pub failure_share: f64,
-    /// Time left until an answer is late.
+    /// Time left to meet the objective.
     pub due: Duration,
-    /// Time left until the call is over.
+    /// Time left until the deadline.
     pub remaining: Duration,
 }
 
-/// Returns how long a first attempt may be silent before a second one is made beside it.
+/// Returns the delay after which an unanswered first attempt is hedged.
 ///
-/// Every second attempt takes a slot from somebody, so an upstream is given the time that hardly any
-/// call takes. From one that has lost answers lately, a second one is made while it can still be in
-/// time.
+/// A hedged request takes an additional slot, so the delay is the outlier threshold of the route.
+/// For an upstream that has lost answers, it is shorter, so that the hedged request can still meet
+/// the objective.
 ///
 /// ```
 /// use policy::{latency::Estimate, retry::{Hedge, hedge_delay}};
 /// use std::time::Duration;
 /// let ms = Duration::from_millis;
-/// let sound = Hedge {
+/// let healthy = Hedge {
 ///     latency: Estimate::new(ms(80)),
 ///     slowness: 1.0,
 ///     failure_share: 0.0,
 ///     due: ms(220),
 ///     remaining: ms(1_200),
 /// };
-/// assert_eq!(hedge_delay(sound), ms(240));
-/// assert_eq!(hedge_delay(Hedge { failure_share: 0.4, ..sound }), ms(140));
+/// assert_eq!(hedge_delay(healthy), ms(240));
+/// assert_eq!(hedge_delay(Hedge { failure_share: 0.4, ..healthy }), ms(140));
 /// ```
-pub fn hedge_delay(prospect: Hedge) -> Duration {
-    let Hedge { latency, slowness, failure_share, due, remaining } = prospect;
+pub fn hedge_delay(hedge: Hedge) -> Duration {
+    let Hedge { latency, slowness, failure_share, due, remaining } = hedge;
     let outlier_threshold = latency.outlier_threshold().mul_f64(slowness.max(1.0));
     let in_time = due.saturating_sub(latency.mean());
-    let losing = in_time.max(latency.mean().mul_f64(LOSING_LEAST));
-    let delay =
-        if failure_share < LOSING { outlier_threshold } else { outlier_threshold.min(losing) };
+    let early = in_time.max(latency.mean().mul_f64(MIN_LOSS_FACTOR));
+    let delay = if failure_share < LOSS_THRESHOLD {
+        outlier_threshold
+    } else {
+        outlier_threshold.min(early)
+    };
     delay.min(remaining / 2)
 }
 
-/// Whether a call may be run more than once.
+/// Whether a call may run more than once.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Kind {
-    /// It may.
+    /// It may run any number of times.
     Idempotent,
-    /// It may not.
+    /// It must run at most once.
     Once,
 }
 
-/// Tells whether another upstream could do better.
-fn is_curable(cause: Cause) -> bool {
+/// Tells whether another upstream may accept the call.
+fn is_retryable(cause: Cause) -> bool {
     match cause {
         Cause::Overloaded
         | Cause::Refused
@@ -294,11 +289,11 @@
     }
 }
 
-/// Tells whether the failed attempt may have cost the service work.
+/// Tells whether the failed attempt may have put load on the service.
 ///
-/// An upstream that nobody reached, or whose node refused by its own state, has lost nothing by
-/// the attempt, so trying another multiplies no load.
-fn loads_upstream(outcome: Outcome) -> bool {
+/// Attempts that did not reach an upstream, or that its node refused, are retried without the
+/// budget.
+fn adds_load(outcome: Outcome) -> bool {
     match outcome {
         Outcome::NotRun(cause, _) => matches!(cause, Cause::Overloaded | Cause::Refused),
         Outcome::Unknown(_) => true,
--- a/crates/policy/src/share.rs
+++ b/crates/policy/src/share.rs
@@ -1,16 +1,14 @@
-//! Shares of a node's hands among the services that calls go to.
+//! Division of a node's capacity among the services that it calls.
 //!
-//! A service whose upstreams hang would otherwise fill the node with waiting calls until the calls
-//! to healthy services find no room. The bound of each service is a share of what is still free
-//! (the dynamic threshold of shared-memory switches): one service alone may use half of the room,
-//! and there is always room left for a service that has little.
+//! Each service may use as much as is still free (dynamic threshold, as in shared-memory switches),
+//! so that one with unresponsive upstreams leaves capacity for others.
 
-/// Room for calls in hand, in calls, and for bodies in hand, in bytes.
+/// Capacity of a node for calls in flight and for the bytes of their bodies.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Capacity {
-    /// Most calls that a node holds at once.
+    /// Upper bound of calls in flight.
     pub calls: usize,
-    /// Most bytes of bodies that a node holds at once.
+    /// Upper bound of body bytes in memory.
     pub bytes: usize,
 }
 
@@ -21,20 +19,20 @@
 }
 
 impl Capacity {
-    /// Tells whether a service with `own` calls in hand may take another while all services
-    /// together have `total`.
+    /// Tells whether a service with `own` calls in flight, out of `total` of all services, may add
+    /// one.
     ///
     /// ```
-    /// let room = policy::share::Capacity { calls: 100, ..Default::default() };
-    /// assert!(room.admits(49, 49));
-    /// assert!(!room.admits(51, 51));
-    /// assert!(room.admits(0, 51));
+    /// let capacity = policy::share::Capacity { calls: 100, ..Default::default() };
+    /// assert!(capacity.admits(49, 49));
+    /// assert!(!capacity.admits(51, 51));
+    /// assert!(capacity.admits(0, 51));
     /// ```
     pub fn admits(&self, own: usize, total: usize) -> bool {
         own < self.calls.saturating_sub(total)
     }
 
-    /// Tells whether `more` bytes fit beside `held` bytes.
+    /// Tells whether `more` bytes fit in addition to `held` bytes.
     pub fn fits(&self, held: usize, more: usize) -> bool {
         held.saturating_add(more) <= self.bytes
     }
--- a/crates/policy/src/suspects.rs
+++ b/crates/policy/src/suspects.rs
@@ -1,7 +1,7 @@
-//! Which requests may have ended the own upstream.
+//! Finds the requests that may have crashed the local upstream (poison requests).
 //!
-//! When a process ends, every call that it works on breaks in the same moment, the guilty one among them.
-//! A call that breaks alone is a lost connection or a spoiled answer, and the upstream answers others.
+//! A crash breaks all calls in flight at once, including the one that caused it. A single broken
+//! call is a lost connection or a malformed answer.
 
 use model::{
     request::{ANSWER_HOLDS, Fingerprint, Suspect},
@@ -12,78 +12,78 @@
     time::Duration,
 };
 
-/// How long before an end a call may have been lost to be one of its suspects.
+/// Time before a crash in which a lost call is a suspect.
 ///
-/// A caller may leave, and its call with it, while the upstream works on towards its end.
-const WINDOW: Duration = Duration::from_secs(1);
+/// An abandoned call may still be running at the upstream.
+const LOSS_WINDOW: Duration = Duration::from_secs(1);
 
-/// Most lost calls that are remembered; within [`WINDOW`] an upstream has a few times its slots.
-const LOST_MOST: usize = 256;
+/// Upper bound of remembered lost calls, a few times the slots of an upstream.
+const MAX_LOST: usize = 256;
 
-/// Most answers that are remembered, at some 50 bytes each: those of ten seconds at 200 calls a second.
-const ANSWERS_MOST: usize = 2_048;
+/// Upper bound of remembered answers, at about 50 bytes each.
+const MAX_ANSWERS: usize = 2_048;
 
 /// How a call to the upstream was lost.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Loss {
-    /// Its connection broke.
+    /// The connection broke.
     Broken,
-    /// Nobody waited for it any more.
+    /// The caller cancelled the call.
     Abandoned,
 }
 
-/// How the calls that the own upstream worked on ended lately.
+/// Recently ended calls of the local upstream.
 #[derive(Debug, Default)]
 pub struct History {
     lost: VecDeque<(Time, Loss, Suspect)>,
     answers: HashMap<Fingerprint, Time>,
-    /// In the order of the answers, to forget the oldest first.
+    /// Answers by time, for eviction.
     order: VecDeque<(Time, Fingerprint)>,
 }
 
 impl History {
-    /// Notes that the upstream answered a call.
+    /// Records that the upstream answered a call.
     pub fn record_answer(&mut self, request: Fingerprint, now: Time) {
         self.answers.insert(request, now);
         self.order.push_back((now, request));
         while let Some((at, oldest)) = self.order.front().copied() {
-            if now.since(at) < ANSWER_HOLDS && self.order.len() <= ANSWERS_MOST {
+            if now.since(at) < ANSWER_HOLDS && self.order.len() <= MAX_ANSWERS {
                 break;
             }
             self.order.pop_front();
-            // It may have been answered again since.
+            // The entry may have a newer answer.
             if self.answers.get(&oldest) == Some(&at) {
                 self.answers.remove(&oldest);
             }
         }
     }
 
-    /// Notes that a call was lost.
+    /// Records that a call was lost.
     pub fn record_loss(&mut self, suspect: Suspect, loss: Loss, now: Time) {
-        self.forget(now);
-        if self.lost.len() == LOST_MOST {
+        self.evict(now);
+        if self.lost.len() == MAX_LOST {
             self.lost.pop_front();
         }
         self.lost.push_back((now, loss, suspect));
     }
 
-    /// Tells whether the upstream answered a call like `request` lately.
+    /// Tells whether the upstream recently answered a call with this fingerprint.
     pub fn was_answered(&self, request: Fingerprint, now: Time) -> bool {
         self.answers.get(&request).is_some_and(|at| now.since(*at) < ANSWER_HOLDS)
     }
 
-    /// Tells whether the upstream answered anything after `since`.
+    /// Tells whether the upstream answered any call after `since`.
     pub fn has_answered_after(&self, since: Time) -> bool {
         self.order.back().is_some_and(|(at, _)| *at > since)
     }
 
-    /// Tells whether any call was lost lately.
+    /// Tells whether any call was lost recently.
     pub fn has_lost(&mut self, now: Time) -> bool {
-        self.forget(now);
+        self.evict(now);
         !self.lost.is_empty()
     }
 
-    /// Takes the suspects of an end of the upstream that was found at `now`, each once.
+    /// Removes and returns the suspects of a crash detected at `now`, without duplicates.
     ///
     /// ```
     /// use model::{request::{Fingerprint, Suspect}, time::Time};
@@ -95,7 +95,7 @@
     /// assert_eq!(history.take_suspects(now), [lost]);
     /// ```
     pub fn take_suspects(&mut self, now: Time) -> Vec<Suspect> {
-        self.forget(now);
+        self.evict(now);
         let lost = std::mem::take(&mut self.lost);
         let mut suspects: Vec<Suspect> = lost.into_iter().map(|(_, _, suspect)| suspect).collect();
         suspects.retain(|suspect| !self.was_answered(suspect.request, now));
@@ -104,12 +104,12 @@
         suspects
     }
 
-    /// Notes that the upstream goes on after calls were broken off.
+    /// Drops calls with broken connections after the upstream proved to be alive.
     pub fn clear_broken(&mut self) {
         self.lost.retain(|(_, loss, _)| *loss == Loss::Abandoned);
     }
 
-    fn forget(&mut self, now: Time) {
-        self.lost.retain(|(at, _, _)| now.since(*at) < WINDOW);
+    fn evict(&mut self, now: Time) {
+        self.lost.retain(|(at, _, _)| now.since(*at) < LOSS_WINDOW);
     }
 }
--- a/crates/policy/src/transfer.rs
+++ b/crates/policy/src/transfer.rs
@@ -1,56 +1,52 @@
-//! When a large body may cross a slow link.
+//! Scheduling of large request bodies on slow links.
 //!
-//! Pattern: uploads of 60 KB go to instances whose links carry five megabits a second, a tenth of a
-//! second each, and the links are in use for most of the time. Who finds a body before its own has
-//! to wait for a tenth of a second, which is nothing beside an objective of a second, but more than
-//! a call may wait for a slot. Turned away after that short wait, it asks elsewhere, finds the same,
-//! and is refused although every link would have taken it in time.
+//! A body may wait longer for its link than a call for a slot, because the links of other upstreams
+//! are likely to be busy too.
 
 use model::time::Time;
 use std::time::Duration;
 
 use crate::{client_retry::Attempt, urgency::Timing};
 
-/// Part of its slack that the body of a first attempt may wait for its turn. The other half is for
-/// a second attempt, for crossing and for what takes longer than usual.
+/// Share of the slack that the body of a first attempt may wait; the rest is for the transfer and a
+/// retry.
 const FIRST_SHARE: f64 = 0.5;
 
-/// The same of a later attempt, which may be the caller's last.
-const LATER_SHARE: f64 = 0.75;
+/// Share of the slack that the body of a retry may wait.
+const RETRY_SHARE: f64 = 0.75;
 
-/// Part of its objective that the body of a call may wait which can only be late.
+/// Share of the objective that the body of a call may wait if the objective cannot be met.
 const LATE_SHARE: f64 = 0.125;
 
-/// Part of its time that a call may wait for a slot once its large body has crossed.
-const CROSSED_SHARE: u32 = 4;
+/// Divides the remaining time to give the longest wait for a slot after a transfer.
+const TRANSFERRED_DIVISOR: u32 = 4;
 
-/// Speed of a link that carries one body at a time, in Mbit/s: one of 64 KB takes it 20 ms.
+/// Link speed per concurrent transfer, in Mbit/s; 64 KB take 20 ms at this speed.
 const MBPS_PER_BODY: u32 = 25;
 
-/// Most bodies at a time, on any link.
-const BODIES_MOST: usize = 32;
+/// Upper bound of concurrent transfers on any link.
+const MAX_BODIES: usize = 32;
 
-/// Returns how many bodies may cross a link of `link_mbps` at a time; 0 stands for a fast one.
+/// Returns the number of concurrent transfers on a link of `link_mbps`; 0 means unlimited speed.
 ///
 /// ```
 /// assert_eq!(policy::transfer::max_concurrent(5), 1);
 /// ```
 pub fn max_concurrent(link_mbps: u32) -> usize {
     match link_mbps {
-        0 => BODIES_MOST,
-        speed => (speed.div_ceil(MBPS_PER_BODY) as usize).min(BODIES_MOST),
+        0 => MAX_BODIES,
+        speed => (speed.div_ceil(MBPS_PER_BODY) as usize).min(MAX_BODIES),
     }
 }
 
-/// Bytes that may come before a small packet on a link: a body of 60 KB, and half of another.
-const BACKLOG_BYTES: u64 = 96 * 1024;
+/// Bytes queued on a link before a small packet: about one and a half large bodies.
+const QUEUED_BYTES: u64 = 96 * 1024;
 
-/// Returns how long a small packet may wait on a link of `link_mbps` behind large bodies; 0 stands
-/// for a fast one.
+/// Returns how long a small packet may wait behind large bodies on a link of `link_mbps`; 0 means
+/// unlimited speed.
 ///
-/// Who opens a connection while its own link receives an upload hears of the other side only after
-/// that. At 5 Mbit/s a bound of 100 ms was passed by 250 of 8,000 calls, and each time a sound
-/// upstream was taken for dead.
+/// Connect timeouts include this delay. Without it, a healthy upstream would appear unreachable
+/// while the link of the entry node receives an upload.
 ///
 /// ```
 /// assert_eq!(policy::transfer::queueing_delay(5).as_millis(), 157);
@@ -58,23 +54,24 @@
 pub fn queueing_delay(link_mbps: u32) -> Duration {
     match link_mbps {
         0 => Duration::ZERO,
-        speed => Duration::from_micros(BACKLOG_BYTES * 8 / u64::from(speed)),
+        speed => Duration::from_micros(QUEUED_BYTES * 8 / u64::from(speed)),
     }
 }
 
-/// Returns by when the body of a call must begin to cross.
-pub fn start_by(clock: Timing) -> Time {
-    let slack = clock.slack();
-    let wait = match clock.attempt {
-        _ if slack.is_zero() => clock.objective.mul_f64(LATE_SHARE),
-        Attempt::Retry => slack.mul_f64(LATER_SHARE),
+/// Returns the latest start of the transfer of a body.
+pub fn start_by(timing: Timing) -> Time {
+    let slack = timing.slack();
+    let wait = match timing.attempt {
+        _ if slack.is_zero() => timing.objective.mul_f64(LATE_SHARE),
+        Attempt::Retry => slack.mul_f64(RETRY_SHARE),
         Attempt::First | Attempt::Early => slack.mul_f64(FIRST_SHARE),
     };
-    clock.received + wait
+    timing.received + wait
 }
 
-/// Returns by when a call whose large body has crossed must begin; it was found fit to be taken before,
-/// and to refuse it now would waste the transfer.
+/// Returns the latest start of a call after the transfer of its large body.
+///
+/// It was admitted before the transfer; a refusal now would waste that.
 ///
 /// ```
 /// use model::time::Time;
@@ -83,5 +80,5 @@
 /// assert_eq!(start_after_transfer(now, deadline), Time::from_millis(500));
 /// ```
 pub fn start_after_transfer(now: Time, deadline: Time) -> Time {
-    now + deadline.since(now) / CROSSED_SHARE
+    now + deadline.since(now) / TRANSFERRED_DIVISOR
 }
--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -1,4 +1,4 @@
-//! The gate never runs more calls than slots, loses no slot and keeps its queue short.
+//! The limiter never runs more calls than slots, leaks no slot and bounds its queue.
 
 use model::time::Time;
 use policy::admission::{Decision, Limiter, Ticket};
@@ -13,33 +13,33 @@
     Time::from_millis(ms)
 }
 
-/// Arrivals of calls with the given remaining ms at a gate with one busy slot whose calls take
-/// 100 ms; compares the answers.
+/// Admits calls with the given remaining milliseconds to a limiter with one busy slot and calls of
+/// 100 ms; compares the decisions.
 #[track_caller]
 fn check(remaining: &[u64], expect: &[&str]) {
-    let mut gate = Limiter::new(1);
-    assert_eq!(gate.admit(Ticket(0), at(0), at(9_000), QUEUE), Decision::Run);
+    let mut limiter = Limiter::new(1);
+    assert_eq!(limiter.admit(Ticket(0), at(0), at(9_000), QUEUE), Decision::Run);
     for _ in 0..200 {
-        gate.finish(Ticket(0), at(0), Some(Duration::from_millis(100)));
-        gate.admit(Ticket(0), at(0), at(9_000), QUEUE);
+        limiter.finish(Ticket(0), at(0), Some(Duration::from_millis(100)));
+        limiter.admit(Ticket(0), at(0), at(9_000), QUEUE);
     }
-    let told: Vec<&str> = remaining
+    let decisions: Vec<&str> = remaining
         .iter()
         .enumerate()
-        .map(|(i, &ms)| match gate.admit(Ticket(i as u64 + 1), at(0), at(ms), QUEUE) {
+        .map(|(i, &ms)| match limiter.admit(Ticket(i as u64 + 1), at(0), at(ms), QUEUE) {
             Decision::Run => "run",
             Decision::Wait(_) => "wait",
             Decision::Refuse(_) => "refuse",
         })
         .collect();
-    assert_eq!(told, expect);
+    assert_eq!(decisions, expect);
 }
 
-/// At dawn every count comes too late: the queue was so long that each call waited until just
-/// before its deadline, and the upstream worked for chefs who had given up.
+/// Guards against a long queue in which every call waits until its deadline and the upstream works
+/// for callers that have given up.
 #[test]
-fn a_call_that_cannot_be_in_time_is_refused_at_once() {
-    cov_mark::check!(gate_refuses);
+fn call_that_would_miss_its_deadline_is_refused_at_once() {
+    cov_mark::check!(admission_refused);
     check(&[1_000, 50], &["wait", "refuse"]);
     check(&[1_000, 150], &["wait", "refuse"]);
     check(&[1_000, 250, 350], &["wait", "wait", "wait"]);
@@ -47,15 +47,15 @@
 }
 
 #[test]
-fn a_freed_slot_passes_over_expired_calls() {
-    cov_mark::check!(gate_drops_expired);
-    let mut gate = Limiter::new(1);
-    gate.admit(Ticket(1), at(0), at(900), QUEUE);
-    gate.admit(Ticket(2), at(0), at(20), QUEUE);
-    gate.admit(Ticket(3), at(0), at(900), QUEUE);
-    assert_eq!(gate.finish(Ticket(1), at(30), None), Some(Ticket(3)));
-    assert_eq!(gate.finish(Ticket(3), at(31), None), None);
-    assert_eq!(gate.busy(), 0);
+fn freed_slot_skips_expired_calls() {
+    cov_mark::check!(admission_expired);
+    let mut limiter = Limiter::new(1);
+    limiter.admit(Ticket(1), at(0), at(900), QUEUE);
+    limiter.admit(Ticket(2), at(0), at(20), QUEUE);
+    limiter.admit(Ticket(3), at(0), at(900), QUEUE);
+    assert_eq!(limiter.finish(Ticket(1), at(30), None), Some(Ticket(3)));
+    assert_eq!(limiter.finish(Ticket(3), at(31), None), None);
+    assert_eq!(limiter.busy(), 0);
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -77,9 +77,9 @@
     }
 }
 
-/// Drives a gate and a plain list of what runs and waits side by side.
-fn agree(actions: Vec<Action>) -> TestResult {
-    let mut gate = Limiter::new(SLOTS);
+/// Runs the same actions on a limiter and on lists of running and waiting calls.
+fn matches_model(actions: Vec<Action>) -> TestResult {
+    let mut limiter = Limiter::new(SLOTS);
     let (mut now, mut next) = (0, 0);
     let mut running: Vec<Ticket> = Vec::new();
     let mut waiting: BTreeMap<u64, u64> = BTreeMap::new();
@@ -88,7 +88,7 @@
             Action::Arrive(ms) => {
                 next += 1;
                 let deadline = now + u64::from(ms);
-                match gate.admit(Ticket(next), at(now), at(deadline), QUEUE) {
+                match limiter.admit(Ticket(next), at(now), at(deadline), QUEUE) {
                     Decision::Run => running.push(Ticket(next)),
                     Decision::Wait(_) => drop(waiting.insert(next, deadline)),
                     Decision::Refuse(after) if after.is_zero() => {
@@ -100,7 +100,7 @@
             Action::Finish if !running.is_empty() => {
                 let ended = running.remove(0);
                 let expect = waiting.iter().find(|(_, deadline)| **deadline > now).map(|w| *w.0);
-                let got = gate.finish(ended, at(now), Some(Duration::from_millis(5)));
+                let got = limiter.finish(ended, at(now), Some(Duration::from_millis(5)));
                 if got != expect.map(Ticket) {
                     return TestResult::error(format!("{got:?} in place of {expect:?}"));
                 }
@@ -114,23 +114,23 @@
             }
             Action::Cancel(n) => {
                 let number = next.saturating_sub(u64::from(n % 8));
-                gate.cancel(Ticket(number));
+                limiter.cancel(Ticket(number));
                 waiting.remove(&number);
             }
             Action::Finish => {}
             Action::Wait(ms) => now += u64::from(ms),
         }
-        if gate.busy() != running.len() || gate.busy() > SLOTS || gate.waiting() > QUEUE {
-            return TestResult::error(format!("{} busy, {} run", gate.busy(), running.len()));
+        if limiter.busy() != running.len() || limiter.busy() > SLOTS || limiter.waiting() > QUEUE {
+            return TestResult::error(format!("{} busy, {} run", limiter.busy(), running.len()));
         }
     }
     TestResult::passed()
 }
 
 #[test]
-fn no_slot_is_lost_or_given_twice() {
+fn slots_are_neither_leaked_nor_granted_twice() {
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(60, SEED))
         .tests(500)
-        .quickcheck(agree as fn(Vec<Action>) -> TestResult);
+        .quickcheck(matches_model as fn(Vec<Action>) -> TestResult);
 }
--- a/crates/policy/tests/budget.rs
+++ b/crates/policy/tests/budget.rs
@@ -1,4 +1,4 @@
-//! Repeated calls of all nodes together stay under the fleet's bound in every window.
+//! Retries of all nodes together stay below the fleet-wide bound in every window.
 
 use model::time::Time;
 use policy::budget::{Settings, Window};
@@ -9,10 +9,9 @@
     Time::from_millis(ms)
 }
 
-/// Every upstream of a service loses half of its answers; every node repeats what it may. Looked at
-/// in any window of ten seconds, the service gets no more repeats than the fleet's bound.
+/// Guards against a retry storm when every upstream of a service loses half of its answers.
 #[test]
-fn no_window_holds_more_than_the_bound() {
+fn retries_in_any_window_stay_below_the_bound() {
     let settings = Settings { usable_share: 1.0, ..Settings::default() };
     for seed in 0..10 {
         let mut random = SmallRng::seed_from_u64(seed);
@@ -20,7 +19,7 @@
         let mut windows = vec![Window::default(); nodes];
         let (mut calls, mut repeats) = (VecDeque::new(), VecDeque::new());
         for ms in 0..60_000_u64 {
-            // Load comes in waves, so that the share of a busy time is not spent in a calm one.
+            // The load alternates, so that a busy window is followed by a quiet one.
             let busy = (ms / 7_000) % 2 == 0;
             if !random.random_bool(if busy { 0.4 } else { 0.05 }) {
                 continue;
@@ -35,7 +34,7 @@
             while repeats.front().is_some_and(old) {
                 repeats.pop_front();
             }
-            // The bound counts the calls of this window or the one before it, whichever has more.
+            // The bound uses the calls of this window or of the one before, whichever has more.
             while calls.front().is_some_and(|then| ms - then > 20_000) {
                 calls.pop_front();
             }
@@ -48,7 +47,7 @@
 }
 
 #[test]
-fn the_window_gives_back_what_has_left_it() {
+fn retries_that_left_the_window_are_available_again() {
     cov_mark::check!(window_spent);
     let settings = Settings { slack: 13.0, usable_share: 1.0, ..Settings::default() };
     let mut window = Window::default();
@@ -58,7 +57,7 @@
 }
 
 #[test]
-fn a_part_is_kept_for_what_no_node_sees() {
+fn only_the_usable_share_of_the_budget_is_spent() {
     let settings = Settings { slack: 0.0, ..Settings::default() };
     let mut window = Window::default();
     (0..100).for_each(|_| window.record_call(&settings, at(0)));
--- a/crates/policy/tests/choice.rs
+++ b/crates/policy/tests/choice.rs
@@ -1,4 +1,4 @@
-//! Choice of upstream and what an entry node has seen of each.
+//! Choice of an upstream by power of two choices, and the health record that it uses.
 
 use model::time::Time;
 use policy::{
@@ -20,8 +20,8 @@
     Duration::from_millis(ms)
 }
 
-/// An upstream known since the start, with answers of the given latency.
-fn seasoned(latency: Duration) -> Record {
+/// An upstream known since the start that answers with the given latency.
+fn warm(latency: Duration) -> Record {
     let mut record = Record::new(at(0));
     record.begin();
     record.end(at(0), Sample::Answered(latency));
@@ -29,7 +29,7 @@
 }
 
 fn ejected() -> Record {
-    let mut record = seasoned(ms(1));
+    let mut record = warm(ms(1));
     record.begin();
     assert_eq!(record.end(at(9_900), Sample::Unreachable), Change::Ejected);
     record
@@ -39,7 +39,7 @@
     Candidate { record, local, tried: false }
 }
 
-/// Draws often and compares which candidates were ever chosen.
+/// Makes many choices and compares the set of chosen candidates.
 #[track_caller]
 fn check(candidates: &[Candidate<'_>], reach: Reach, expect: &[usize]) {
     let mut random = SmallRng::seed_from_u64(3);
@@ -52,34 +52,33 @@
 }
 
 #[test]
-fn the_own_data_centre_comes_first() {
-    let (fine, out) = (seasoned(ms(1)), ejected());
-    let (near, far) = (candidate(&fine, true), candidate(&fine, false));
+fn local_upstreams_are_preferred() {
+    let (healthy, ejected) = (warm(ms(1)), ejected());
+    let (near, far) = (candidate(&healthy, true), candidate(&healthy, false));
     check(&[far, near, near, far], Reach::Failover, &[1, 2]);
-    check(&[far, candidate(&out, true)], Reach::Failover, &[0]);
+    check(&[far, candidate(&ejected, true)], Reach::Failover, &[0]);
     check(&[far, far], Reach::LocalOnly, &[]);
     check(&[], Reach::Failover, &[]);
 }
 
 #[test]
-fn an_upstream_already_tried_is_not_tried_again() {
-    let fine = seasoned(ms(1));
-    let tried = Candidate { tried: true, ..candidate(&fine, true) };
-    check(&[tried, candidate(&fine, true)], Reach::Failover, &[1]);
+fn tried_upstream_is_not_chosen_again() {
+    let healthy = warm(ms(1));
+    let tried = Candidate { tried: true, ..candidate(&healthy, true) };
+    check(&[tried, candidate(&healthy, true)], Reach::Failover, &[1]);
     check(&[tried], Reach::Failover, &[]);
 }
 
-/// The buffet runs empty although all kitchens' upstreams are up: a short fault of the network had
-/// each of them ejected, and nobody was left to ask.
+/// Guards against a service without upstreams after a short network fault that ejected all of them.
 #[test]
-fn ejection_never_empties_a_service() {
-    cov_mark::check!(choice_takes_ejected);
-    let out = ejected();
-    check(&[candidate(&out, true)], Reach::LocalOnly, &[0]);
-    check(&[candidate(&out, false)], Reach::Failover, &[0]);
+fn ejected_upstream_is_chosen_if_no_other_is_left() {
+    cov_mark::check!(choice_uses_ejected);
+    let ejected = ejected();
+    check(&[candidate(&ejected, true)], Reach::LocalOnly, &[0]);
+    check(&[candidate(&ejected, false)], Reach::Failover, &[0]);
 }
 
-/// Returns the share of draws that choose the first of two candidates.
+/// Returns the share of choices that take the first of two candidates.
 fn share(first: &Record, second: &Record, now: Time) -> f64 {
     let mut random = SmallRng::seed_from_u64(5);
     let mut records = [first.clone(), second.clone()];
@@ -98,27 +97,26 @@
     count as f64 / DRAWS as f64
 }
 
-/// Stock lookups are late at opening: an old machine beside three new ones got as many calls as
-/// they did and answered each ten times later.
+/// Guards against an equal share of calls for an upstream on slower hardware.
 #[test]
-fn slow_old_hardware_gets_fewer_calls() {
-    let fair = share(&seasoned(ms(5)), &seasoned(ms(5)), at(10_000));
-    let slow = share(&seasoned(ms(50)), &seasoned(ms(5)), at(10_000));
-    assert!((0.45..0.55).contains(&fair), "{fair}");
+fn slow_upstream_gets_fewer_calls() {
+    let equal = share(&warm(ms(5)), &warm(ms(5)), at(10_000));
+    let slow = share(&warm(ms(50)), &warm(ms(5)), at(10_000));
+    assert!((0.45..0.55).contains(&equal), "{equal}");
     assert!(slow < 0.12, "{slow}");
 }
 
 #[test]
-fn a_cold_upstream_starts_with_a_small_share() {
+fn new_upstream_starts_with_a_small_share() {
     let cold = Record::new(at(9_900));
-    let warming = share(&cold, &seasoned(ms(5)), at(10_000));
-    assert!(warming < 0.2, "{warming}");
-    let warm = share(&cold, &seasoned(ms(5)), at(20_000));
+    let cold_share = share(&cold, &warm(ms(5)), at(10_000));
+    assert!(cold_share < 0.2, "{cold_share}");
+    let warm = share(&cold, &warm(ms(5)), at(20_000));
     assert!((0.45..0.55).contains(&warm), "{warm}");
 }
 
 #[test]
-fn failures_in_a_row_eject_and_an_answer_forgives() {
+fn consecutive_failures_eject_and_an_answer_resets_the_count() {
     let mut record = Record::new(at(0));
     let mut end = |sample| {
         record.begin();
@@ -134,11 +132,11 @@
     assert!(!record.is_ejected(at(500)));
 }
 
-/// A lost cover: an upstream that had frozen was let in again after its ejection, and the first
-/// call to show that it was still frozen was one that could not be repeated.
+/// Guards against an unknown outcome when the first call after an ejection is not idempotent and
+/// the upstream is still frozen.
 #[test]
-fn an_upstream_on_probation_is_tried_with_repeatable_calls() {
-    let mut record = seasoned(ms(1));
+fn upstream_on_probation_gets_only_idempotent_calls() {
+    let mut record = warm(ms(1));
     record.begin();
     record.end(at(1_000), Sample::Unreachable);
     let able = |record: &Record, now| {
@@ -155,14 +153,13 @@
     assert_eq!(able(&record, 1_700), (true, true));
 }
 
-/// Lookups wait one after the other at an upstream that has gone silent: until three had failed in
-/// a row, it was chosen as often as before.
+/// Guards against further calls to an unresponsive upstream until the failure limit is reached.
 #[test]
-fn a_silent_upstream_is_avoided_at_once_and_not_for_ever() {
-    let mut silent = seasoned(ms(2));
-    silent.begin();
-    assert_eq!(silent.end(at(9_000), Sample::TimedOut(ms(600))), Change::None);
-    assert!(share(&silent, &seasoned(ms(2)), at(9_001)) < 0.05);
-    let later = silent.latency(at(60_000)).expect("it has one");
+fn unresponsive_upstream_is_avoided_at_once_and_only_for_a_while() {
+    let mut unresponsive = warm(ms(2));
+    unresponsive.begin();
+    assert_eq!(unresponsive.end(at(9_000), Sample::TimedOut(ms(600))), Change::None);
+    assert!(share(&unresponsive, &warm(ms(2)), at(9_001)) < 0.05);
+    let later = unresponsive.latency(at(60_000)).expect("it has one");
     assert!(later < ms(1), "{later:?}");
 }
--- a/crates/policy/tests/claim.rs
+++ b/crates/policy/tests/claim.rs
@@ -1,4 +1,4 @@
-//! The claim refuses a call for each single reason, and pauses are noticed.
+//! Each cause alone makes the claim refuse a call, and pauses of the process are detected.
 
 use model::time::Time;
 use policy::{
@@ -11,7 +11,7 @@
     Time::from_millis(ms)
 }
 
-fn good() -> Conditions {
+fn acceptable() -> Conditions {
     Conditions {
         now: at(10),
         deadline: at(100),
@@ -25,58 +25,58 @@
 }
 
 #[track_caller]
-fn check(facts: Conditions, expect: Option<Cause>) {
-    assert_eq!(refusal(facts), expect, "{facts:?}");
+fn check(conditions: Conditions, expect: Option<Cause>) {
+    assert_eq!(refusal(conditions), expect, "{conditions:?}");
 }
 
-/// A supplier payment posts twice: its node was frozen with the request in hand, the caller was
-/// told "unknown" and paid again, and the woken node ran the first request after all.
+/// Guards against a payment that runs twice: its node was frozen, the caller retried elsewhere, and
+/// the resumed node ran the first request too.
 #[test]
-fn each_reason_refuses() {
+fn each_cause_refuses_the_call() {
     cov_mark::check!(claim_late);
     cov_mark::check!(claim_paused);
     cov_mark::check!(claim_cancelled);
     cov_mark::check!(claim_leaving);
     cov_mark::check!(claim_replaced);
-    check(good(), None);
-    check(Conditions { now: at(99), ..good() }, None);
-    check(Conditions { now: at(100), ..good() }, Some(Cause::Late));
-    check(Conditions { paused: true, ..good() }, Some(Cause::Paused));
-    check(Conditions { connected: false, ..good() }, Some(Cause::Cancelled));
-    check(Conditions { leaving: true, ..good() }, Some(Cause::Leaving));
-    check(Conditions { current_incarnation: false, ..good() }, Some(Cause::Replaced));
-    check(Conditions { evacuated: true, ..good() }, Some(Cause::Evacuated));
+    check(acceptable(), None);
+    check(Conditions { now: at(99), ..acceptable() }, None);
+    check(Conditions { now: at(100), ..acceptable() }, Some(Cause::Late));
+    check(Conditions { paused: true, ..acceptable() }, Some(Cause::Paused));
+    check(Conditions { connected: false, ..acceptable() }, Some(Cause::Cancelled));
+    check(Conditions { leaving: true, ..acceptable() }, Some(Cause::Leaving));
+    check(Conditions { current_incarnation: false, ..acceptable() }, Some(Cause::Replaced));
+    check(Conditions { evacuated: true, ..acceptable() }, Some(Cause::Evacuated));
 }
 
 #[test]
-fn the_shorter_of_two_deadlines_counts() {
+fn shorter_of_two_deadlines_applies() {
     assert_eq!(deadline(at(50), Some(20), 500), at(70));
     assert_eq!(deadline(at(50), Some(9_000), 500), at(550));
     assert_eq!(deadline(at(50), None, 500), at(550));
 }
 
-/// Runs beats at the given times, then asks about a request.
+/// Ticks at the given times, then checks a request.
 #[track_caller]
-fn check_pause(beats: &[u64], received: u64, now: u64, expect: bool) {
-    let mut watch = Detector::new(Settings::default(), at(0));
-    beats.iter().for_each(|&beat| {
-        watch.tick(at(beat));
+fn check_pause(ticks: &[u64], received: u64, now: u64, expect: bool) {
+    let mut detector = Detector::new(Settings::default(), at(0));
+    ticks.iter().for_each(|&tick| {
+        detector.tick(at(tick));
     });
-    assert_eq!(watch.may_be_stale(at(received), at(now)), expect);
+    assert_eq!(detector.may_be_stale(at(received), at(now)), expect);
 }
 
 #[test]
-fn requests_that_may_have_waited_through_a_pause_are_in_doubt() {
+fn requests_that_may_have_waited_during_a_pause_are_stale() {
     // No pause.
     check_pause(&[50, 100], 110, 120, false);
-    // The pause ended, but the thread that beats has not run yet.
+    // The pause has ended, but the ticking thread has not run yet.
     check_pause(&[50], 9_000, 9_000, true);
-    // It has run, and the request was read just after.
+    // It has run, and the request was read shortly afterwards.
     check_pause(&[50, 9_000], 9_050, 9_060, true);
-    // The same request is still in doubt when its turn comes later.
+    // The same request is still stale when it is claimed later.
     check_pause(&[50, 9_000, 9_400, 9_800], 9_050, 9_900, true);
     // Read well after the pause.
     check_pause(&[50, 9_000, 9_300], 9_200, 9_310, false);
-    // Read before the pause: its deadline counted on meanwhile.
+    // Read before the pause: its deadline was fixed then.
     check_pause(&[50, 100, 9_000], 60, 9_010, false);
 }
--- a/crates/policy/tests/client_retry.rs
+++ b/crates/policy/tests/client_retry.rs
@@ -1,4 +1,4 @@
-//! Who among the callers has been refused before.
+//! Recognition of retries by refused callers.
 
 use model::{request::Fingerprint, time::Time};
 use policy::client_retry::{Attempt, History};
@@ -10,21 +10,21 @@
 
 const KEY: Fingerprint = Fingerprint(42);
 
-/// A register that refused `KEY` at 20 ms, asked it back after 100 ms, and knows that its time is
-/// over at 900 ms.
+/// A history with a refusal of `KEY` at 20 ms, a `Retry-After` of 100 ms and a caller timeout at
+/// 900 ms.
 fn refused() -> History {
-    let mut register = History::default();
-    register.record(KEY, at(10), at(20), Duration::from_millis(100), at(900));
-    register
+    let mut history = History::default();
+    history.record(KEY, at(10), at(20), Duration::from_millis(100), at(900));
+    history
 }
 
 #[track_caller]
-fn check(now: u64, attempt: Attempt, begun: u64) {
-    assert_eq!(refused().take(KEY, at(now)), (attempt, at(begun)));
+fn check(now: u64, attempt: Attempt, first_arrival: u64) {
+    assert_eq!(refused().take(KEY, at(now)), (attempt, at(first_arrival)));
 }
 
 #[test]
-fn the_time_of_the_first_attempt_is_remembered_until_the_caller_has_none_left() {
+fn first_attempt_is_remembered_until_the_caller_times_out() {
     check(120, Attempt::Retry, 10);
     check(100, Attempt::Retry, 10);
     check(99, Attempt::Early, 10);
@@ -32,39 +32,38 @@
     check(900, Attempt::First, 900);
 }
 
-/// A grocer's lookup is refused twice and the cashier guesses: callers start with times that differ
-/// by 15 in 100, so the time left made every new caller look like one who had come back, and those
-/// who had were not put first.
+/// Guards against first attempts that are taken for retries because callers start with different
+/// timeouts.
 #[test]
-fn new_callers_are_told_from_returning_ones_whatever_time_they_have() {
-    let mut register = refused();
-    assert_eq!(register.take(Fingerprint(43), at(130)), (Attempt::First, at(130)));
-    assert_eq!(register.take(KEY, at(130)), (Attempt::Retry, at(10)));
+fn first_attempts_and_retries_are_distinguished_by_fingerprint() {
+    let mut history = refused();
+    assert_eq!(history.take(Fingerprint(43), at(130)), (Attempt::First, at(130)));
+    assert_eq!(history.take(KEY, at(130)), (Attempt::Retry, at(10)));
 }
 
 #[test]
-fn one_refusal_stands_for_one_attempt() {
-    let mut register = refused();
-    assert_eq!(register.take(KEY, at(130)), (Attempt::Retry, at(10)));
-    assert_eq!(register.take(KEY, at(140)), (Attempt::First, at(140)));
+fn refusal_matches_one_attempt_only() {
+    let mut history = refused();
+    assert_eq!(history.take(KEY, at(130)), (Attempt::Retry, at(10)));
+    assert_eq!(history.take(KEY, at(140)), (Attempt::First, at(140)));
 }
 
 #[test]
-fn a_second_refusal_keeps_the_time_of_the_first_attempt() {
-    let mut register = refused();
-    let (_, begun) = register.take(KEY, at(130));
-    register.record(KEY, begun, at(140), Duration::from_millis(50), at(900));
-    assert_eq!(register.take(KEY, at(200)), (Attempt::Retry, at(10)));
+fn second_refusal_keeps_the_time_of_the_first_attempt() {
+    let mut history = refused();
+    let (_, first_arrival) = history.take(KEY, at(130));
+    history.record(KEY, first_arrival, at(140), Duration::from_millis(50), at(900));
+    assert_eq!(history.take(KEY, at(200)), (Attempt::Retry, at(10)));
 }
 
-/// A node is killed for want of memory: it refuses for minutes and remembers everybody.
+/// Guards against unbounded memory on a node that refuses calls for minutes.
 #[test]
-fn the_register_is_bounded_and_forgets_the_oldest() {
-    let mut register = History::default();
+fn history_is_bounded_and_evicts_the_oldest() {
+    let mut history = History::default();
     for key in 0..10_000 {
-        register.record(Fingerprint(key), at(key), at(key), Duration::ZERO, at(1_000_000));
+        history.record(Fingerprint(key), at(key), at(key), Duration::ZERO, at(1_000_000));
     }
-    assert_eq!(register.take(Fingerprint(0), at(10_000)).0, Attempt::First);
-    assert_eq!(register.take(Fingerprint(9_999), at(10_000)), (Attempt::Retry, at(9_999)));
-    assert!(register.len() <= 4_096, "{}", register.len());
+    assert_eq!(history.take(Fingerprint(0), at(10_000)).0, Attempt::First);
+    assert_eq!(history.take(Fingerprint(9_999), at(10_000)), (Attempt::Retry, at(9_999)));
+    assert!(history.len() <= 4_096, "{}", history.len());
 }
--- a/crates/policy/tests/drain.rs
+++ b/crates/policy/tests/drain.rs
@@ -1,4 +1,4 @@
-//! A planned stop ends, and not in the midst of calls.
+//! A planned stop ends, and without breaking calls in flight.
 
 use policy::drain::{Plan, Progress, Step, next_step};
 use std::time::Duration;
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_node_with_nothing_in_hand_ends_once_others_have_heard_that_it_leaves() {
+fn idle_node_ends_after_its_leave_was_announced() {
     check(0, None, 5_000, Step::Wait);
     check(999, None, 5_000, Step::Wait);
     check(1_000, None, 299, Step::Wait);
@@ -26,11 +26,10 @@
     check(2_500, Some(500), 300, Step::End);
 }
 
-/// A terminal's call is cut by a node that had nothing to do: it was to stop, stood still for a second
-/// with nothing in hand, and took that for quiet as it woke, just as the calls of that second came in.
-/// Seen in a soak; such calls are refused by a node that has closed, and go elsewhere.
+/// Guards against broken calls after a pause of an idle node: the calls that arrived meanwhile are
+/// refused and go elsewhere.
 #[test]
-fn a_node_that_stood_still_with_nothing_in_hand_closes_first() {
+fn idle_node_closes_before_it_ends_after_a_pause() {
     check(2_600, None, 1_300, Step::Close);
     check(2_605, Some(5), 0, Step::Wait);
     check(2_950, Some(350), 299, Step::Wait);
@@ -38,18 +37,17 @@
 }
 
 #[test]
-fn a_node_with_calls_in_hand_closes_and_ends_at_its_limit() {
+fn busy_node_closes_and_ends_at_its_limit() {
     check(1_999, None, 0, Step::Wait);
     check(2_000, None, 0, Step::Close);
     check(3_999, Some(1_999), 0, Step::Wait);
     check(4_000, Some(2_000), 0, Step::End);
 }
 
-/// A cashier is told that nobody knows whether a payment was made: the node that carried it was to
-/// stop, stood still until its time was over, and ended as soon as it woke. Seen once in a soak: two
-/// calls cut at a node that had never refused one; proved by holding a stopping process for 4.5 s.
+/// Guards against unknown outcomes when a stopping node was paused until its limit and ends as soon
+/// as it resumes.
 #[test]
-fn a_node_that_stood_still_closes_first_and_lets_calls_end() {
+fn busy_node_closes_and_drains_calls_after_a_pause_until_its_limit() {
     check(4_500, None, 0, Step::Close);
     check(4_510, Some(10), 0, Step::Wait);
     check(4_800, Some(300), 300, Step::End);
@@ -57,9 +55,9 @@
     check(5_000, Some(500), 0, Step::End);
 }
 
-/// A profile that grants less than the announcement takes still gives calls in hand their time.
+/// The limit may be shorter than the time until the close.
 #[test]
-fn a_limit_before_the_close_closes_too() {
+fn limit_before_the_close_still_closes_first() {
     let plan = Plan { close: ms(3_000), limit: ms(1_000) };
     let progress = Progress { elapsed: ms(1_000), closed: None, idle: ms(0) };
     assert_eq!(next_step(plan, progress), Step::Close);
--- a/crates/policy/tests/health.rs
+++ b/crates/policy/tests/health.rs
@@ -1,4 +1,4 @@
-//! What a call without an answer shows of its upstream.
+//! Evidence about an upstream from calls without an answer.
 
 use policy::{
     health::Sample,
@@ -13,18 +13,18 @@
     assert_eq!(Sample::of_failure(outcome, TIME), expect, "{outcome:?}");
 }
 
-/// A restart loses calls: the node beside the upstream says that it leaves, counts as alive, and is
-/// asked again by every call until the list says that it has gone.
+/// Guards against calls that keep going to a leaving or replaced node until the view is updated.
 #[test]
-fn a_node_that_leaves_is_as_good_as_absent() {
+fn leaving_node_counts_as_unreachable() {
     check(Cause::Leaving.outcome(), Sample::Unreachable);
     check(Cause::Replaced.outcome(), Sample::Unreachable);
     check(Cause::Unreachable.outcome(), Sample::Unreachable);
 }
 
-/// Under load every upstream is ejected, since each of them refuses calls, and the others drown.
+/// Guards against ejection of all upstreams of an overloaded service, since each of them refuses
+/// calls.
 #[test]
-fn a_refusal_is_a_sign_of_life() {
+fn refusal_does_not_count_as_failure() {
     check(Cause::Overloaded.outcome(), Sample::Refused);
     check(Cause::Refused.outcome(), Sample::Refused);
     check(Cause::Late.outcome(), Sample::Refused);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn only_silence_tells_a_time() {
+fn only_a_timeout_gives_a_latency_sample() {
     check(Outcome::Unknown(Doubt::Timeout), Sample::TimedOut(TIME));
     check(Outcome::Unknown(Doubt::Broken), Sample::Failed);
     check(Outcome::Unknown(Doubt::BadAnswer), Sample::Failed);
--- a/crates/policy/tests/latency.rs
+++ b/crates/policy/tests/latency.rs
@@ -1,4 +1,4 @@
-//! What is usual for the calls of a route, and how long silence is borne.
+//! Latency estimates of routes, and the delay of hedged requests.
 
 use policy::{
     client_retry::Attempt,
@@ -15,7 +15,7 @@
     Duration::from_millis(ms)
 }
 
-/// Returns `count` log-normal times with the given mean, in ms, and spread.
+/// Returns `count` log-normal times with the given mean in milliseconds and sigma.
 fn times(mean: f64, spread: f64, count: usize) -> Vec<Duration> {
     let mut random = SmallRng::seed_from_u64(3);
     let mut draw = || {
@@ -26,19 +26,18 @@
     (0..count).map(|_| draw()).collect()
 }
 
-fn learnt(times: &[Duration]) -> Estimate {
+fn estimate(times: &[Duration]) -> Estimate {
     let mut latency = Estimate::new(times[0]);
     times.iter().for_each(|time| latency.record(*time));
     latency
 }
 
-/// An accountant's ledger view is refused although there is time: the same upstreams take uploads
-/// of 700 ms, the average of both was 400 ms, and views of 80 ms with an objective of 300 ms counted
-/// as late before they began.
+/// Guards against a mean over all routes of a service, which makes short calls beside long ones
+/// count as late on arrival.
 #[test]
-fn a_lookup_beside_uploads_is_not_late_before_it_begins() {
+fn short_call_beside_long_ones_is_not_late_on_arrival() {
     let of = |expected| {
-        let clock = Timing {
+        let timing = Timing {
             received: Time::default(),
             deadline: Time::from_millis(800),
             attempt: Attempt::First,
@@ -46,57 +45,56 @@
             objective: ms(300),
             expected,
         };
-        urgency::rank(Origin::Caller, 1, clock).priority
+        urgency::rank(Origin::Caller, 1, timing).priority
     };
-    let lookups = learnt(&times(80.0, 0.8, 500));
+    let lookups = estimate(&times(80.0, 0.8, 500));
     assert!(of(lookups.mean()) < of(ms(400)), "{lookups:?}");
 }
 
-/// Overload lasts longer than it must: one call in six of a route with uneven times was thought lost
-/// after 2.5 times the service's average and made twice, so a tenth of the slots did work that
-/// nobody waited for.
+/// Guards against hedged requests for healthy calls of a route with a high latency variance, which
+/// take slots under overload.
 #[test]
-fn hardly_any_sound_call_is_made_twice() {
+fn at_most_four_percent_of_healthy_calls_are_hedged() {
     for (mean, spread) in [(36.0, 0.8), (90.0, 0.3), (200.0, 0.5), (79.0, 0.8)] {
         let times = times(mean, spread, 2_000);
         let mut latency = Estimate::new(times[0]);
-        let mut doubled = 0;
+        let mut hedged = 0;
         for time in &times {
-            let prospect = Hedge {
+            let hedge = Hedge {
                 latency,
                 slowness: 1.0,
                 failure_share: 0.0,
                 due: ms(300),
                 remaining: ms(60_000),
             };
-            doubled += usize::from(*time > hedge_delay(prospect));
+            hedged += usize::from(*time > hedge_delay(hedge));
             latency.record(*time);
         }
-        assert!(doubled * 100 <= times.len() * 4, "{doubled} of {} at {spread}", times.len());
+        assert!(hedged * 100 <= times.len() * 4, "{hedged} of {} at {spread}", times.len());
     }
 }
 
 #[track_caller]
-fn check(prospect: Hedge, expect: Duration) {
-    assert_eq!(hedge_delay(prospect), expect);
+fn check(hedge: Hedge, expect: Duration) {
+    assert_eq!(hedge_delay(hedge), expect);
 }
 
-/// Lookups come late one after the other: an upstream runs them and loses the answers, and each time
-/// the second attempt is made when it can only be late.
+/// Guards against hedged requests that can only be late, at an upstream that repeatedly loses
+/// answers.
 #[test]
-fn an_upstream_that_loses_answers_is_given_less_time() {
-    let sound = Hedge {
+fn upstream_that_loses_answers_is_hedged_earlier() {
+    let healthy = Hedge {
         latency: Estimate::new(ms(100)),
         slowness: 1.0,
         failure_share: 0.1,
         due: ms(400),
         remaining: ms(2_000),
     };
-    check(sound, ms(300));
-    check(Hedge { failure_share: 0.2, ..sound }, ms(300));
-    check(Hedge { failure_share: 0.2, due: ms(280), ..sound }, ms(180));
-    check(Hedge { failure_share: 0.2, due: ms(50), ..sound }, ms(150));
-    check(Hedge { slowness: 3.0, ..sound }, ms(900));
-    check(Hedge { slowness: 0.5, ..sound }, ms(300));
-    check(Hedge { remaining: ms(200), ..sound }, ms(100));
+    check(healthy, ms(300));
+    check(Hedge { failure_share: 0.2, ..healthy }, ms(300));
+    check(Hedge { failure_share: 0.2, due: ms(280), ..healthy }, ms(180));
+    check(Hedge { failure_share: 0.2, due: ms(50), ..healthy }, ms(150));
+    check(Hedge { slowness: 3.0, ..healthy }, ms(900));
+    check(Hedge { slowness: 0.5, ..healthy }, ms(300));
+    check(Hedge { remaining: ms(200), ..healthy }, ms(100));
 }
--- a/crates/policy/tests/outcome.rs
+++ b/crates/policy/tests/outcome.rs
@@ -1,28 +1,28 @@
-//! The table of outcomes: each step, each way of losing a call there.
+//! Outcome of each way of losing a call at each step.
 
 use policy::outcome::{Cause, Doubt, Loss, Outcome, STEPS, Step, of_loss};
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Told {
+enum Expected {
     NotRun,
     Unknown,
 }
 
 #[track_caller]
-fn check(step: Step, expect: [Told; 4]) {
+fn check(step: Step, expect: [Expected; 4]) {
     let losses = [Loss::Refusal(Cause::Refused), Loss::Closed, Loss::Timeout, Loss::Malformed];
-    let told = losses.map(|loss| match of_loss(step, loss) {
-        Outcome::NotRun(..) => Told::NotRun,
-        Outcome::Unknown(_) => Told::Unknown,
+    let outcomes = losses.map(|loss| match of_loss(step, loss) {
+        Outcome::NotRun(..) => Expected::NotRun,
+        Outcome::Unknown(_) => Expected::Unknown,
     });
-    assert_eq!(told, expect, "{step:?}");
+    assert_eq!(outcomes, expect, "{step:?}");
 }
 
-/// A cashier is told that a payment was not run, enters it again, and it is posted twice: the
-/// first had been handed to the upstream when its connection broke.
+/// Guards against a payment that runs twice: its caller was told "not run" although the upstream
+/// had received it.
 #[test]
-fn not_run_is_said_only_where_it_is_proved() {
-    use Told::{NotRun, Unknown};
+fn not_run_is_returned_only_if_proven() {
+    use Expected::{NotRun, Unknown};
     check(Step::Receive, [NotRun, NotRun, NotRun, NotRun]);
     check(Step::Connect, [NotRun, NotRun, NotRun, NotRun]);
     check(Step::Offer, [NotRun, Unknown, Unknown, Unknown]);
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn names_on_the_wire_lead_back() {
+fn wire_names_round_trip() {
     for cause in ["overloaded", "leaving", "late", "paused", "replaced", "no-upstream"] {
         assert_eq!(Cause::parse(cause).map(Cause::name), Some(cause));
     }
@@ -44,10 +44,10 @@
     assert_eq!(Cause::parse("whatever"), None);
 }
 
-/// A cashier is told that a payment was not run, since its last attempt was refused, and enters it
-/// again; the attempt before had been posted, and only its answer was lost.
+/// Guards against a payment that runs twice: its last attempt was refused, but an earlier one had
+/// run and lost its answer.
 #[test]
-fn a_later_refusal_does_not_undo_an_earlier_attempt() {
+fn later_refusal_does_not_hide_an_earlier_unknown_outcome() {
     let (lost, broken) = (Outcome::Unknown(Doubt::Timeout), Outcome::Unknown(Doubt::Broken));
     let (full, late) = (Cause::Overloaded.outcome(), Cause::Late.outcome());
     assert_eq!(full.after(lost), lost);
--- a/crates/policy/tests/placement.rs
+++ b/crates/policy/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Where an entry node sends a call when it knows slots and load.
+//! Choice of an upstream by reported slots and load.
 
 use model::time::Time;
 use policy::{
@@ -15,12 +15,12 @@
     Time::from_millis(ms)
 }
 
-/// An upstream that usually answers after `latency_ms` and holds `others` calls of other nodes.
+/// An upstream with a mean latency of `latency_ms` and `others` calls of other nodes.
 fn record(latency_ms: u64, others: usize) -> Record {
     let mut record = Record::new(at(0));
     record.begin();
     record.end(at(10_000), Sample::Answered(Duration::from_millis(latency_ms)));
-    // Enough calls that the average is theirs, beside others of the route that take 80 ms.
+    // Enough samples for the mean to converge, relative to a route mean of 80 ms.
     (0..30).for_each(|_| record.record_slowness(latency_ms as f64 / 80.0, at(10_000)));
     record.update_load(Load { busy: others, ..Load::default() }, at(10_000));
     record
@@ -39,7 +39,7 @@
     }
 }
 
-/// Returns how many of 100 calls each candidate gets, where none of them ends.
+/// Returns the percentage of calls per candidate, without any call ending.
 fn shares(candidates: &[Candidate<'_>]) -> Vec<usize> {
     let mut random = SmallRng::seed_from_u64(5);
     let mut counts = vec![0; candidates.len()];
@@ -57,34 +57,32 @@
 }
 
 #[test]
-fn the_emptier_upstream_is_taken() {
+fn less_loaded_upstream_is_chosen() {
     let (idle, busy) = (record(80, 1), record(80, 8));
     check(&[candidate(&busy, Locality::DataCentre), candidate(&idle, Locality::DataCentre)], 1);
 }
 
 #[test]
-fn equal_upstreams_share_the_calls() {
+fn equal_upstreams_share_calls_evenly() {
     let (a, b) = (record(80, 4), record(80, 4));
     let shares =
         shares(&[candidate(&a, Locality::DataCentre), candidate(&b, Locality::DataCentre)]);
     assert!(shares.iter().all(|&share| share > 40), "{shares:?}");
 }
 
-/// One data centre has three of six upstreams and a third of the callers; another has one. Calls
-/// queue there while slots stand empty next door, as long as work leaves only when nothing is able.
+/// Guards against queues in one data centre while slots are free in another.
 #[test]
-fn work_spills_over_before_a_queue_forms() {
+fn calls_overflow_to_another_data_centre_before_a_queue_forms() {
     let (near, far) = (record(80, 9), record(80, 3));
     check(&[candidate(&near, Locality::DataCentre), candidate(&far, Locality::Remote)], 1);
     let (near, far) = (record(80, 4), record(80, 3));
     check(&[candidate(&near, Locality::DataCentre), candidate(&far, Locality::Remote)], 0);
 }
 
-/// Lookups cross between data centres by the thousand although there is room near by: their requests
-/// are small, and nobody weighed the 5 KB that come back. Redemptions with answers of 400 bytes go
-/// where there is more room.
+/// Guards against traffic between data centres for calls with large responses while there are free
+/// slots nearby.
 #[test]
-fn calls_with_large_answers_stay_near_for_longer() {
+fn calls_with_large_responses_stay_local_at_higher_load() {
     let (near, far) = (record(80, 8), record(80, 1));
     for (response_bytes, expect) in [(0, 1), (400, 1), (5_000, 0)] {
         let near = Candidate { response_bytes, ..candidate(&near, Locality::DataCentre) };
@@ -93,10 +91,10 @@
     }
 }
 
-/// Callers in the busiest data centre are refused while slots stand idle elsewhere: a call was
-/// offered to four upstreams near by, one after the other, and all of them were full.
+/// Guards against refusals in a busy data centre while slots are free elsewhere: every attempt went
+/// to a full upstream nearby.
 #[test]
-fn a_refusal_makes_other_data_centres_nearer() {
+fn refusals_lower_the_cost_of_other_data_centres() {
     let (near, far) = (record(80, 9), record(80, 3));
     for (refusals, expect) in [(0, 0), (1, 0), (3, 1)] {
         let of = |record, locality| Candidate {
@@ -108,10 +106,9 @@
     }
 }
 
-/// A body goes on to another data centre once a queue as long as the slots has formed near by,
-/// however large the body is.
+/// A large body leaves its data centre once the queues there are as long as the slots.
 #[test]
-fn no_body_is_too_large_to_leave_a_long_queue() {
+fn large_body_leaves_a_data_centre_with_long_queues() {
     let (near, far) = (record(80, 25), record(80, 0));
     let near = Candidate { request_bytes: 400_000, ..candidate(&near, Locality::Instance) };
     let far = Candidate { request_bytes: 400_000, ..candidate(&far, Locality::Remote) };
@@ -119,7 +116,7 @@
 }
 
 #[test]
-fn large_bodies_stay_near_for_longer() {
+fn large_bodies_stay_local_at_higher_load() {
     let (near, far) = (record(80, 9), record(80, 3));
     let near = Candidate { request_bytes: 60_000, ..candidate(&near, Locality::DataCentre) };
     let far = Candidate { request_bytes: 60_000, ..candidate(&far, Locality::Remote) };
@@ -127,25 +124,23 @@
 }
 
 #[test]
-fn a_large_body_stays_on_its_instance_while_there_is_room() {
+fn large_body_stays_on_its_instance_while_slots_are_free() {
     let (own, near) = (record(80, 4), record(80, 2));
     let own = Candidate { request_bytes: 60_000, ..candidate(&own, Locality::Instance) };
     let near = Candidate { request_bytes: 60_000, ..candidate(&near, Locality::DataCentre) };
     check(&[own, near], 0);
 }
 
-/// One of four upstreams turns five times slower; its calls miss their objective although its
-/// slots are no fuller than the others'.
+/// Guards against late calls at a slow upstream whose slots are no fuller than those of others.
 #[test]
-fn a_slow_upstream_gets_less() {
+fn slower_upstream_gets_fewer_calls() {
     let (slow, fast) = (record(400, 1), record(80, 4));
     check(&[candidate(&slow, Locality::DataCentre), candidate(&fast, Locality::DataCentre)], 1);
 }
 
-/// An upstream fails half of its calls at once, with a good health check: it answers fast, is
-/// never full, and draws calls from everywhere.
+/// Guards against an upstream that attracts calls because it fails half of them quickly.
 #[test]
-fn an_upstream_that_fails_a_part_of_its_calls_gets_less() {
+fn partially_failing_upstream_gets_fewer_calls() {
     let mut failing = record(10, 0);
     for i in 0..20 {
         failing.begin();
@@ -154,12 +149,15 @@
         failing.end(at(10_000), sample);
     }
     assert!((0.3..0.7).contains(&failing.failure_share(at(10_000))));
-    let sound = record(10, 2);
-    check(&[candidate(&failing, Locality::DataCentre), candidate(&sound, Locality::DataCentre)], 1);
+    let healthy = record(10, 2);
+    check(
+        &[candidate(&failing, Locality::DataCentre), candidate(&healthy, Locality::DataCentre)],
+        1,
+    );
 }
 
 #[test]
-fn a_cold_upstream_gets_some_and_less() {
+fn cold_upstream_gets_fewer_calls_but_some() {
     let (cold, warm) = (record(80, 3), record(80, 3));
     let cold = Candidate { cold: Cold::Slow, ..candidate(&cold, Locality::DataCentre) };
     check(&[cold, candidate(&warm, Locality::DataCentre)], 1);
@@ -169,30 +167,30 @@
 }
 
 #[test]
-fn tried_ones_are_left_out_and_ejected_ones_come_last() {
-    let sound = record(80, 9);
+fn tried_upstreams_are_excluded_and_ejected_ones_come_last() {
+    let healthy = record(80, 9);
     let mut out = record(80, 0);
     out.begin();
     out.end(at(9_900), Sample::Unreachable);
-    check(&[candidate(&out, Locality::DataCentre), candidate(&sound, Locality::DataCentre)], 1);
-    let tried = Candidate { tried: true, ..candidate(&sound, Locality::DataCentre) };
+    check(&[candidate(&out, Locality::DataCentre), candidate(&healthy, Locality::DataCentre)], 1);
+    let tried = Candidate { tried: true, ..candidate(&healthy, Locality::DataCentre) };
     check(&[tried, candidate(&out, Locality::DataCentre)], 1);
     let mut random = SmallRng::seed_from_u64(5);
     assert_eq!(choose(&[tried], Kind::Once, at(10_000), &mut random), None);
 }
 
-/// What a serving node told a second ago says little; the node's own calls count as they are.
+/// Reported load decays with age.
 #[test]
-fn old_word_of_a_load_fades() {
-    let told = record(80, 8);
-    assert!(told.expected_load(at(10_000)) > 7.9);
-    assert!(told.expected_load(at(12_000)) < 0.6);
+fn reported_load_decays() {
+    let loaded = record(80, 8);
+    assert!(loaded.expected_load(at(10_000)) > 7.9);
+    assert!(loaded.expected_load(at(12_000)) < 0.6);
 }
 
-/// An upstream whose node was restarted stays without calls for ten seconds, because refused
-/// connections doubled its ejection, although the node has long been heard of again.
+/// Guards against an upstream without calls after a restart of its node, because failed connections
+/// doubled its ejection.
 #[test]
-fn a_node_that_is_heard_of_again_is_pardoned() {
+fn only_ejections_for_failed_connections_end_early() {
     let mut out = record(80, 0);
     for _ in 0..4 {
         out.begin();
--- a/crates/policy/tests/retry.rs
+++ b/crates/policy/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Which calls are offered again, and how much load retries may add.
+//! Which calls are retried, and how much load retries may add.
 
 use model::time::Time;
 use policy::{
@@ -22,10 +22,10 @@
     assert_eq!((step(Kind::Once), step(Kind::Idempotent)), (once, idempotent), "{outcome:?}");
 }
 
-/// A payment posts twice: its first attempt broke off after the upstream had it, and a retry ran
-/// it again.
+/// Guards against a payment that runs twice: its connection broke after the upstream had received
+/// it, and a retry ran it again.
 #[test]
-fn a_call_that_may_have_run_is_repeated_only_if_idempotent() {
+fn call_that_may_have_run_is_retried_only_if_idempotent() {
     cov_mark::check!(retry_unsafe);
     check(Outcome::Unknown(Doubt::Broken), Step::GiveUp, Step::Retry);
     check(Outcome::Unknown(Doubt::Timeout), Step::GiveUp, Step::Retry);
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn what_no_other_upstream_can_cure_is_not_repeated() {
+fn causes_that_no_other_upstream_resolves_are_not_retried() {
     check(not_run(Cause::Late), Step::GiveUp, Step::GiveUp);
     check(not_run(Cause::Cancelled), Step::GiveUp, Step::GiveUp);
     check(not_run(Cause::NoUpstream), Step::GiveUp, Step::GiveUp);
@@ -45,14 +45,14 @@
 }
 
 #[test]
-fn the_limit_of_attempts_holds() {
+fn attempts_are_limited() {
     let last = Attempt { made: 3, ..attempt(not_run(Cause::Unreachable), Kind::Once) };
     assert_eq!(decide(last, &mut Budget::default()), Step::GiveUp);
 }
 
-/// A service in trouble gets three times its calls and stays in trouble: every caller retried.
+/// Guards against a retry storm that keeps a failing service overloaded.
 #[test]
-fn the_budget_bounds_the_load_that_retries_add() {
+fn budget_bounds_the_load_of_retries() {
     cov_mark::check!(retry_budget_spent);
     let mut budget = Budget::default();
     let calls = 10_000;
@@ -65,9 +65,9 @@
     assert!(extra <= calls / 10 + 10, "{extra} retries of {calls} calls");
 }
 
-/// An upstream that nobody reached has lost nothing, so those retries are not bounded by load.
+/// Attempts that did not reach an upstream are retried without the budget.
 #[test]
-fn retries_that_add_no_load_are_free() {
+fn retries_without_load_need_no_budget() {
     let mut budget = Budget::default();
     while budget.spend() {}
     let free = attempt(not_run(Cause::Unreachable), Kind::Once);
@@ -76,40 +76,40 @@
     assert_eq!(decide(paid, &mut budget), Step::GiveUp);
 }
 
-/// A healthy service is refused because another one's upstreams hang and hold the whole node.
+/// Guards against refusals for a healthy service because calls to unresponsive upstreams fill the
+/// node.
 #[test]
-fn a_hanging_service_leaves_room_for_others() {
-    let room = Capacity { calls: 100, ..Capacity::default() };
+fn unresponsive_service_leaves_capacity_for_others() {
+    let capacity = Capacity { calls: 100, ..Capacity::default() };
     let mut hanging = 0;
-    while room.admits(hanging, hanging) {
+    while capacity.admits(hanging, hanging) {
         hanging += 1;
     }
     assert_eq!(hanging, 50);
     let mut other = 0;
-    while room.admits(other, hanging + other) {
+    while capacity.admits(other, hanging + other) {
         other += 1;
     }
     assert_eq!(other, 25);
-    assert!(room.admits(0, hanging + other));
+    assert!(capacity.admits(0, hanging + other));
 }
 
 #[track_caller]
-fn check_moment(moment: CallState, expect: Option<Cause>) {
-    assert_eq!(stop_cause(moment), expect, "{moment:?}");
+fn check_call(call: CallState, expect: Option<Cause>) {
+    assert_eq!(stop_cause(call), expect, "{call:?}");
 }
 
-/// A caller gives up while its call is tried at one upstream after the other, and the last one runs
-/// a payment that nobody waits for.
+/// Guards against running a payment after its caller has disconnected or its deadline has passed.
 #[test]
-fn nothing_is_tried_for_who_has_gone_or_has_no_time_left() {
+fn no_attempt_after_disconnect_pause_or_deadline() {
     let at = Time::from_millis;
-    let good = CallState { now: at(99), deadline: at(100), paused: false, connected: true };
-    let late = CallState { now: at(100), ..good };
-    let paused = CallState { paused: true, ..good };
-    check_moment(good, None);
-    check_moment(late, Some(Cause::Late));
-    check_moment(paused, Some(Cause::Paused));
-    check_moment(CallState { connected: false, ..good }, Some(Cause::Cancelled));
-    check_moment(CallState { paused: true, connected: false, ..late }, Some(Cause::Late));
-    check_moment(CallState { connected: false, ..paused }, Some(Cause::Paused));
+    let active = CallState { now: at(99), deadline: at(100), paused: false, connected: true };
+    let late = CallState { now: at(100), ..active };
+    let paused = CallState { paused: true, ..active };
+    check_call(active, None);
+    check_call(late, Some(Cause::Late));
+    check_call(paused, Some(Cause::Paused));
+    check_call(CallState { connected: false, ..active }, Some(Cause::Cancelled));
+    check_call(CallState { paused: true, connected: false, ..late }, Some(Cause::Late));
+    check_call(CallState { connected: false, ..paused }, Some(Cause::Paused));
 }
--- a/crates/policy/tests/suspects.rs
+++ b/crates/policy/tests/suspects.rs
@@ -1,4 +1,4 @@
-//! Which requests may have ended the own upstream.
+//! Suspects of a crash of the local upstream.
 
 use model::{
     request::{Fingerprint, Suspect},
@@ -19,60 +19,61 @@
     Suspect { request: Fingerprint(request), label: format!("GET /{request}") }
 }
 
-/// Plays steps at their times, in ms, and compares the suspects of an end at `end`.
+/// Runs steps at the given milliseconds and compares the suspects of a crash at `end`.
 #[track_caller]
 fn check(steps: &[(u64, Step)], end: u64, expect: &[u64]) {
-    let mut runs = History::default();
+    let mut history = History::default();
     for (at, step) in steps {
         let now = Time::from_millis(*at);
         match step {
-            Answer(request) => runs.record_answer(Fingerprint(*request), now),
-            Lose(request, loss) => runs.record_loss(suspect(*request), *loss, now),
-            Survive => runs.clear_broken(),
+            Answer(request) => history.record_answer(Fingerprint(*request), now),
+            Lose(request, loss) => history.record_loss(suspect(*request), *loss, now),
+            Survive => history.clear_broken(),
         }
     }
     let expect: Vec<Suspect> = expect.iter().copied().map(suspect).collect();
-    assert_eq!(runs.take_suspects(Time::from_millis(end)), expect);
+    assert_eq!(history.take_suspects(Time::from_millis(end)), expect);
 }
 
 #[test]
-fn all_calls_that_broke_with_the_process_are_suspects_each_once() {
+fn calls_broken_by_a_crash_are_suspects_without_duplicates() {
     check(&[(0, Lose(2, Broken)), (1, Lose(1, Broken)), (1, Lose(2, Broken))], 100, &[1, 2]);
 }
 
 #[test]
-fn a_call_that_broke_long_before_is_none() {
+fn call_broken_long_before_a_crash_is_not_a_suspect() {
     check(&[(0, Lose(1, Broken)), (900, Lose(2, Broken))], 1_000, &[2]);
 }
 
-/// A popular lookup is refused everywhere after an outage of one upstream, since copies of it ran there. Its
-/// other copies were answered a moment before, which a request that ends upstreams never is.
+/// Guards against quarantine of a popular request because copies of it were in flight when the
+/// upstream crashed.
 #[test]
-fn a_request_that_was_answered_lately_is_none() {
+fn recently_answered_request_is_not_a_suspect() {
     check(&[(0, Answer(1)), (9_000, Lose(1, Broken)), (9_000, Lose(2, Broken))], 9_100, &[2]);
     check(&[(0, Answer(1)), (9_950, Lose(1, Broken))], 10_000, &[1]);
 }
 
-/// Answers that are cut short are no ends: the upstream goes on.
+/// Guards against suspects from a truncated answer of an upstream that is still running.
 #[test]
-fn what_the_upstream_outlived_is_none() {
+fn call_broken_before_a_sign_of_life_is_not_a_suspect() {
     check(&[(0, Lose(1, Broken)), (50, Survive), (60, Lose(2, Broken))], 100, &[2]);
 }
 
-/// A caller gives up after 50 ms, and the upstream ends after 100 under the request that nobody waits for.
+/// Guards against a poison request that escapes because its caller cancelled before the upstream
+/// crashed.
 #[test]
-fn a_call_whose_caller_left_stays_a_suspect() {
+fn cancelled_call_stays_a_suspect_after_a_sign_of_life() {
     check(&[(0, Lose(1, Abandoned)), (50, Survive), (60, Lose(2, Broken))], 100, &[1, 2]);
 }
 
 #[test]
-fn what_is_remembered_is_bounded() {
-    let mut runs = History::default();
+fn history_is_bounded() {
+    let mut history = History::default();
     for request in 0..100_000 {
-        runs.record_loss(suspect(request), Broken, Time::from_millis(5));
-        runs.record_answer(Fingerprint(request + 1_000_000), Time::from_millis(5));
+        history.record_loss(suspect(request), Broken, Time::from_millis(5));
+        history.record_answer(Fingerprint(request + 1_000_000), Time::from_millis(5));
     }
-    let is_known = |n: u64| runs.was_answered(Fingerprint(n + 1_000_000), Time::from_millis(6));
+    let is_known = |n: u64| history.was_answered(Fingerprint(n + 1_000_000), Time::from_millis(6));
     assert!((0..100_000).filter(|n| is_known(*n)).count() <= 2_048);
-    assert!(runs.take_suspects(Time::from_millis(6)).len() <= 256);
+    assert!(history.take_suspects(Time::from_millis(6)).len() <= 256);
 }
--- a/crates/policy/tests/transfer.rs
+++ b/crates/policy/tests/transfer.rs
@@ -1,7 +1,6 @@
-//! Uploads on slow links: whose body waits, and who is refused.
+//! Admission of uploads on slow links.
 //!
-//! Pattern: eleven instances with links that carry one body in a tenth of a second are asked for
-//! nine tenths of what their links can carry. Each upload asks up to four instances by chance.
+//! Each link carries one body at a time, and each upload is offered to a few random links.
 
 use model::time::Time;
 use policy::{
@@ -41,13 +40,13 @@
     }
 }
 
-/// Plays `load` times what the links can carry for a minute; returns the shares of uploads that
-/// found a link and those whose answer is in time.
-fn play(load: f64, start_by: fn(Timing) -> Time) -> (f64, f64) {
+/// Simulates a minute at `load` times the capacity of the links; returns the shares of uploads that
+/// were admitted and that met their objective.
+fn simulate(load: f64, start_by: fn(Timing) -> Time) -> (f64, f64) {
     let mut random = SmallRng::seed_from_u64(11);
-    let mut gates: Vec<Limiter> = (0..LINKS).map(|_| Limiter::new(1)).collect();
+    let mut limiters: Vec<Limiter> = (0..LINKS).map(|_| Limiter::new(1)).collect();
     let mut ends: BinaryHeap<(Reverse<u64>, usize, u64)> = BinaryHeap::new();
-    let mut begun = Vec::new();
+    let mut arrivals = Vec::new();
     let (mut taken, mut in_time) = (0, 0);
     let mut now = 0.0;
     while now < 60_000.0 {
@@ -57,21 +56,21 @@
         while ends.peek().is_some_and(|(Reverse(end), ..)| *end <= arrived) {
             let (Reverse(end), link, ended) = ends.pop().expect("an end was seen");
             if let Some(Ticket(next)) =
-                gates[link].finish(Ticket(ended), at(end), Some(ms(CROSSING_MS)))
+                limiters[link].finish(Ticket(ended), at(end), Some(ms(CROSSING_MS)))
             {
                 ends.push((Reverse(end + CROSSING_MS), link, next));
                 let answered = end + CROSSING_MS + WORK_MS;
-                in_time += usize::from(answered - begun[next as usize] <= OBJECTIVE_MS);
+                in_time += usize::from(answered - arrivals[next as usize] <= OBJECTIVE_MS);
             }
         }
-        let ticket = Ticket(begun.len() as u64);
-        begun.push(arrived);
+        let ticket = Ticket(arrivals.len() as u64);
+        arrivals.push(arrived);
         let rank =
             Rank { priority: 1, start_by: Some(start_by(first(arrived))), ..Rank::default() };
         for _ in 0..OFFERS {
             let link = random.random_range(0..LINKS);
             let entry =
-                gates[link].admit_ranked(ticket, rank, at(arrived), at(arrived + 4_000), 16);
+                limiters[link].admit_ranked(ticket, rank, at(arrived), at(arrived + 4_000), 16);
             match entry {
                 Decision::Refuse(_) => continue,
                 Decision::Wait(_) => {}
@@ -84,70 +83,70 @@
             break;
         }
     }
-    (f64::from(taken) / begun.len() as f64, in_time as f64 / begun.len() as f64)
+    (f64::from(taken) / arrivals.len() as f64, in_time as f64 / arrivals.len() as f64)
 }
 
-/// A pharmacy's sales file is refused twice in a row at nine tenths of the load: each link has a
-/// body before it, and a wait of a tenth of a second was too long.
+/// Guards against refusals at a load of 0.9, where each link has a body queued and the wait allowed
+/// for a slot is too short.
 #[test]
-fn a_body_waits_for_its_turn_while_it_can_be_in_time() {
-    let as_for_a_slot = |clock| {
-        urgency::rank(Origin::Caller, 1, clock).start_by.expect("callers wait for a bounded time")
+fn body_waits_for_the_link_while_it_can_meet_its_objective() {
+    let slot_start_by = |timing| {
+        urgency::rank(Origin::Caller, 1, timing).start_by.expect("callers wait for a bounded time")
     };
-    let (before, _) = play(0.9, as_for_a_slot);
-    let (taken, in_time) = play(0.9, transfer::start_by);
-    assert!(before < 0.95 && taken > 0.99 && in_time > 0.98, "{before} {taken} {in_time}");
+    let (slot_taken, _) = simulate(0.9, slot_start_by);
+    let (taken, in_time) = simulate(0.9, transfer::start_by);
+    assert!(slot_taken < 0.95 && taken > 0.99 && in_time > 0.98, "{slot_taken} {taken} {in_time}");
 }
 
-/// More uploads come than the links can carry: what is taken is still in time, and the others are
-/// refused at once.
+/// Guards against late answers of admitted uploads under overload.
 #[test]
-fn under_overload_bodies_that_are_taken_are_in_time() {
-    let (taken, in_time) = play(1.3, transfer::start_by);
+fn admitted_bodies_meet_their_objective_under_overload() {
+    let (taken, in_time) = simulate(1.3, transfer::start_by);
     assert!(taken > 0.74, "{taken}");
     assert!(in_time > 0.95 * taken, "{in_time} of {taken}");
 }
 
 #[track_caller]
-fn check(clock: Timing, wait_ms: u64) {
-    assert_eq!(transfer::start_by(clock), clock.received + ms(wait_ms));
+fn check(timing: Timing, wait_ms: u64) {
+    assert_eq!(transfer::start_by(timing), timing.received + ms(wait_ms));
 }
 
 #[test]
-fn a_body_may_wait_for_a_part_of_the_slack() {
+fn body_waits_for_a_part_of_its_slack() {
     check(first(0), 330);
     check(Timing { attempt: Attempt::Retry, elapsed: ms(400), ..first(0) }, 195);
     check(Timing { attempt: Attempt::Retry, elapsed: ms(900), ..first(0) }, 125);
 }
 
 #[test]
-fn slow_links_carry_one_body_at_a_time() {
+fn concurrent_transfers_grow_with_link_speed() {
     let expect = [(0, 32), (5, 1), (25, 1), (26, 2), (100, 4), (10_000, 32)];
     for (mbps, max_concurrent) in expect {
         assert_eq!(transfer::max_concurrent(mbps), max_concurrent, "{mbps}");
     }
 }
 
-/// An upstream that works is left alone for half a second: the caller's own link received an upload
-/// just then, and the other side was heard of a tenth of a second too late.
+/// Guards against ejection of a healthy upstream because the link of the entry node is busy with an
+/// upload.
 #[test]
-fn who_is_called_over_a_busy_link_gets_time_to_answer() {
-    for (mbps, backlog_ms) in [(0, 0), (5, 157), (100, 7), (1_000, 0)] {
-        assert_eq!(transfer::queueing_delay(mbps).as_millis(), backlog_ms, "{mbps}");
+fn queueing_delay_shrinks_with_link_speed() {
+    for (mbps, delay_ms) in [(0, 0), (5, 157), (100, 7), (1_000, 0)] {
+        assert_eq!(transfer::queueing_delay(mbps).as_millis(), delay_ms, "{mbps}");
     }
 }
 
-/// Uploads queue on one link while others are free: the slots tell nothing of links.
+/// Guards against uploads that queue on one link while others are free; slots do not reflect link
+/// load.
 #[test]
-fn large_bodies_go_where_fewer_are_on_their_way() {
-    let told = |bodies| {
+fn large_bodies_go_to_links_with_fewer_transfers() {
+    let reported = |bodies| {
         let mut record = Record::new(at(0));
         record.begin();
         record.end(at(9_000), Sample::Answered(ms(300)));
         record.update_load(Load { busy: 3, waiting: 0, bodies }, at(9_000));
         record
     };
-    let (busy, free) = (told(3), told(0));
+    let (busy, free) = (reported(3), reported(0));
     let of = |record, request_bytes| Candidate {
         record,
         slots: 9,
--- a/crates/policy/tests/warmup.rs
+++ b/crates/policy/tests/warmup.rs
@@ -1,4 +1,5 @@
-//! Cold upstreams: how many calls reach one, and that a fleet of cold ones warms up under load.
+//! Rate limit of cold upstreams, and recovery of a service whose upstreams all start cold under
+//! load.
 
 use model::{service::WarmUp, time::Time};
 use policy::{
@@ -11,7 +12,7 @@
 const WARM_UP: WarmUp = WarmUp { calls_per_min: 660, length: Duration::from_secs(3) };
 const EXCESS: Excess = Excess { factor: 1.5, slack: 8.0 };
 
-/// Calls that may reach a cold upstream in any second.
+/// Upper bound of calls that reach a cold upstream in any second.
 const BOUND: usize = 24;
 
 const SECOND: u64 = 1_000;
@@ -26,40 +27,40 @@
     Limit::new(WARM_UP, EXCESS, at(until_ms))
 }
 
-/// Returns a limit of 11 calls a second, whatever the bound leaves.
-fn eleven_a_second(until_ms: u64) -> Limit {
+/// Returns a limit of 11 calls per second with a fixed burst.
+fn eleven_per_second(until_ms: u64) -> Limit {
     Limit { rate: 11.0, burst: 6.75, until: at(until_ms) }
 }
 
-/// Returns the most calls that any second holds.
+/// Returns the largest number of calls in any second.
 fn most_in_a_second(times: &[u64]) -> usize {
     let within = |from: u64| times.iter().filter(|t| (from..from + SECOND).contains(t)).count();
     times.iter().map(|&from| within(from)).max().unwrap_or(0)
 }
 
-/// Guards against a burst that crashes a cold upstream: arrivals at random, calls of any length, some of which
-/// never reach it.
+/// Guards against a burst that crashes a cold upstream, with random arrivals, durations and calls
+/// that never reach it.
 #[test]
-fn no_second_holds_more_calls_than_a_cold_upstream_bears() {
+fn calls_to_a_cold_upstream_stay_below_the_bound_in_any_second() {
     for seed in 0..40 {
         let mut random = SmallRng::seed_from_u64(seed);
-        let mut gate = Limiter::new(SLOTS);
+        let mut limiter = Limiter::new(SLOTS);
         let mut running: VecDeque<(u64, Ticket, bool)> = VecDeque::new();
         let mut reached = Vec::new();
         let mut next_ticket = 0;
         for now in 0..6_000 {
-            gate.set_warm_up(limit(6_000), at(now));
-            let mut granted = gate.grant_waiting(at(now));
+            limiter.set_warm_up(limit(6_000), at(now));
+            let mut granted = limiter.grant_waiting(at(now));
             running.make_contiguous().sort_by_key(|run| run.0);
             while running.front().is_some_and(|run| run.0 <= now) {
                 let (_, ticket, reaches) = running.pop_front().expect("it is there");
                 let time = reaches.then_some(Duration::from_millis(50));
-                granted.extend(gate.finish(ticket, at(now), time));
+                granted.extend(limiter.finish(ticket, at(now), time));
             }
             if random.random_bool(0.2) {
                 next_ticket += 1;
                 let ticket = Ticket(next_ticket);
-                if gate.admit(ticket, at(now), at(now + 600), QUEUE) == Decision::Run {
+                if limiter.admit(ticket, at(now), at(now + 600), QUEUE) == Decision::Run {
                     granted.push(ticket);
                 }
             }
@@ -73,31 +74,31 @@
         }
         let most = most_in_a_second(&reached);
         assert!(most <= BOUND, "seed {seed}: {most}");
-        // What it bears is used: 11 a second over six seconds.
+        // The rate is used: 11 calls per second over six seconds.
         assert!(reached.len() >= 60, "seed {seed}: {}", reached.len());
     }
 }
 
-/// Guards against a node that starts beside a cold upstream and sends a burst on top of what the process before
-/// it sent.
+/// Guards against a restarted node that sends a burst in addition to the calls of the previous
+/// process.
 #[test]
-fn a_node_that_starts_has_one_token() {
-    let mut gate = Limiter::new(SLOTS);
-    gate.set_warm_up(eleven_a_second(3_000), at(0));
-    assert_eq!(gate.admit(Ticket(1), at(0), at(900), QUEUE), Decision::Run);
-    assert!(matches!(gate.admit(Ticket(2), at(0), at(900), QUEUE), Decision::Wait(_)));
-    let token = gate.next_token(at(0)).expect("a call waits for a token");
+fn new_bucket_has_one_token() {
+    let mut limiter = Limiter::new(SLOTS);
+    limiter.set_warm_up(eleven_per_second(3_000), at(0));
+    assert_eq!(limiter.admit(Ticket(1), at(0), at(900), QUEUE), Decision::Run);
+    assert!(matches!(limiter.admit(Ticket(2), at(0), at(900), QUEUE), Decision::Wait(_)));
+    let token = limiter.next_token(at(0)).expect("a call waits for a token");
     assert!((90..=91).contains(&token.millis()), "{token:?}");
-    assert_eq!(gate.grant_waiting(at(92)), [Ticket(2)]);
+    assert_eq!(limiter.grant_waiting(at(92)), [Ticket(2)]);
 }
 
-/// Guards against callers who wait for a token that comes too late for them.
+/// Guards against calls that wait for a token that comes after their latest start.
 #[test]
-fn a_call_that_gets_no_token_in_time_is_refused_at_once() {
-    let mut gate = Limiter::new(SLOTS);
-    gate.set_warm_up(eleven_a_second(3_000), at(0));
+fn call_without_a_token_in_time_is_refused_at_once() {
+    let mut limiter = Limiter::new(SLOTS);
+    limiter.set_warm_up(eleven_per_second(3_000), at(0));
     let rank = Rank { start_by: Some(at(300)), ..Rank::default() };
-    let mut entries = (0..6).map(|n| gate.admit_ranked(Ticket(n), rank, at(0), at(900), QUEUE));
+    let mut entries = (0..6).map(|n| limiter.admit_ranked(Ticket(n), rank, at(0), at(900), QUEUE));
     assert_eq!(entries.next(), Some(Decision::Run));
     assert!(entries.by_ref().take(3).all(|entry| matches!(entry, Decision::Wait(_))));
     for entry in entries {
@@ -106,70 +107,70 @@
     }
 }
 
-/// Guards against calls that go on waiting for tokens once the upstream is warm.
+/// Guards against calls that keep waiting for tokens once the upstream is warm.
 #[test]
-fn what_waits_goes_once_the_upstream_is_warm() {
-    let mut gate = Limiter::new(SLOTS);
-    gate.set_warm_up(limit(200), at(0));
+fn waiting_calls_run_once_the_upstream_is_warm() {
+    let mut limiter = Limiter::new(SLOTS);
+    limiter.set_warm_up(limit(200), at(0));
     for n in 0..5 {
-        gate.admit(Ticket(n), at(0), at(900), QUEUE);
+        limiter.admit(Ticket(n), at(0), at(900), QUEUE);
     }
-    assert_eq!(gate.waiting(), 4);
-    assert_eq!(gate.grant_waiting(at(199)).len(), 2);
-    assert_eq!(gate.grant_waiting(at(200)).len(), 2);
+    assert_eq!(limiter.waiting(), 4);
+    assert_eq!(limiter.grant_waiting(at(199)).len(), 2);
+    assert_eq!(limiter.grant_waiting(at(200)).len(), 2);
 }
 
-/// Guards against a limit that lets the least urgent calls take the few tokens.
+/// Guards against tokens that go to the least urgent calls.
 #[test]
 fn urgent_calls_get_tokens_first() {
-    let mut gate = Limiter::new(SLOTS);
-    gate.set_warm_up(limit(3_000), at(0));
-    gate.admit(Ticket(0), at(0), at(900), QUEUE);
+    let mut limiter = Limiter::new(SLOTS);
+    limiter.set_warm_up(limit(3_000), at(0));
+    limiter.admit(Ticket(0), at(0), at(900), QUEUE);
     let later = Rank { priority: 9, ..Rank::default() };
     let nested = Rank { priority: 9, class: Class::Nested, ..Rank::default() };
-    gate.admit_ranked(Ticket(1), later, at(0), at(900), QUEUE);
-    gate.admit_ranked(Ticket(2), Rank::default(), at(0), at(900), QUEUE);
-    gate.admit_ranked(Ticket(3), nested, at(0), at(900), QUEUE);
+    limiter.admit_ranked(Ticket(1), later, at(0), at(900), QUEUE);
+    limiter.admit_ranked(Ticket(2), Rank::default(), at(0), at(900), QUEUE);
+    limiter.admit_ranked(Ticket(3), nested, at(0), at(900), QUEUE);
     let order: Vec<Ticket> =
-        [100, 200, 300].iter().flat_map(|&ms| gate.grant_waiting(at(ms))).collect();
+        [100, 200, 300].iter().flat_map(|&ms| limiter.grant_waiting(at(ms))).collect();
     assert_eq!(order, [Ticket(3), Ticket(2), Ticket(1)]);
 }
 
-/// An upstream that crashes where a second holds more calls than it bears while cold.
+/// A simulated upstream that crashes if too many calls reach it in a second while it is cold.
 struct Upstream {
-    gate: Limiter,
-    /// When it is up again; it is cold from then.
+    limiter: Limiter,
+    /// Start of the current incarnation, which is cold at first.
     up: u64,
     warm: u64,
     reached: Vec<u64>,
     running: Vec<(u64, Ticket)>,
 }
 
-/// How upstreams are guarded.
+/// Protection of the simulated upstreams.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Guard {
     None,
     TokenBucket,
 }
 
-/// Upstreams of the service.
+/// Number of upstreams of the service.
 const UPSTREAMS: usize = 14;
 
-/// Time of a call, in ms; twice that while cold.
+/// Duration of a call in ms; doubled while cold.
 const CALL: u64 = 60;
 
-/// Calls that arrive in each second: three quarters of what warm upstreams can do.
+/// Calls per second: three quarters of the capacity of warm upstreams.
 const LOAD: u64 = 1_050;
 
-/// Times of a call that a caller waits until it repeats at once, as a third of them do.
-const HASTY_REPEATS: u64 = 3;
+/// Attempts of a caller that retries at once; a third of them do.
+const EARLY_RETRY_ATTEMPTS: u64 = 3;
 
-/// Returns how many calls were answered in each second, from a cold start of all upstreams at 0.
+/// Returns the answered calls of each second after a cold start of all upstreams.
 fn cold_start(guard: Guard) -> Vec<u64> {
     let mut random = SmallRng::seed_from_u64(7);
     let mut upstreams: Vec<Upstream> = (0..UPSTREAMS)
         .map(|_| Upstream {
-            gate: Limiter::new(SLOTS),
+            limiter: Limiter::new(SLOTS),
             up: 0,
             warm: 3_000,
             reached: Vec::new(),
@@ -184,7 +185,7 @@
         }
         let arrivals = (now + 1) * LOAD / SECOND - now * LOAD / SECOND;
         for _ in 0..arrivals {
-            let attempts = if random.random_bool(1.0 / 3.0) { HASTY_REPEATS } else { 1 };
+            let attempts = if random.random_bool(1.0 / 3.0) { EARLY_RETRY_ATTEMPTS } else { 1 };
             for _ in 0..attempts {
                 ticket += 1;
                 let chosen = random.random_range(0..UPSTREAMS);
@@ -204,29 +205,29 @@
         }
         match guard {
             Guard::TokenBucket if now < self.warm => {
-                self.gate.set_warm_up(limit(self.warm), at(now))
+                self.limiter.set_warm_up(limit(self.warm), at(now))
             }
-            Guard::TokenBucket | Guard::None => self.gate.end_warm_up(),
+            Guard::TokenBucket | Guard::None => self.limiter.end_warm_up(),
         }
         let (done, running) = self.running.iter().partition(|run| run.0 <= now);
         self.running = running;
         let done: Vec<(u64, Ticket)> = done;
         for (_, ticket) in done {
             answered[(now / SECOND) as usize] += 1;
-            let next = self.gate.finish(ticket, at(now), Some(Duration::from_millis(CALL)));
+            let next = self.limiter.finish(ticket, at(now), Some(Duration::from_millis(CALL)));
             next.into_iter().for_each(|ticket| self.run(ticket, now));
         }
-        for ticket in self.gate.grant_waiting(at(now)) {
+        for ticket in self.limiter.grant_waiting(at(now)) {
             self.run(ticket, now);
         }
     }
 
-    /// Returns whether the call is taken, or waits.
+    /// Returns whether the call runs or waits.
     fn offer(&mut self, ticket: Ticket, now: u64) -> bool {
         if now < self.up {
             return false;
         }
-        match self.gate.admit(ticket, at(now), at(now + 600), QUEUE) {
+        match self.limiter.admit(ticket, at(now), at(now + 600), QUEUE) {
             Decision::Run => self.run(ticket, now),
             Decision::Wait(_) => {}
             Decision::Refuse(_) => return false,
@@ -239,7 +240,7 @@
         let is_cold = now < self.warm;
         let last = self.reached.iter().filter(|&&t| t + SECOND > now).count();
         if is_cold && last > BOUND {
-            self.gate = Limiter::new(SLOTS);
+            self.limiter = Limiter::new(SLOTS);
             self.running.clear();
             self.reached.clear();
             self.up = now + 2_000;
@@ -251,13 +252,13 @@
     }
 }
 
-/// Guards against a metastable failure: all upstreams start cold under the usual load, crash, come back cold and
-/// crash again. The trigger is long over and the load alone keeps them down.
+/// Guards against a metastable failure: upstreams that start cold under normal load crash and come
+/// back cold, again and again.
 #[test]
-fn a_cold_start_of_all_upstreams_under_load_ends() {
+fn cold_start_of_all_upstreams_under_load_recovers() {
     let unguarded = cold_start(Guard::None);
     assert!(unguarded[5..].iter().all(|&calls| calls < LOAD / 2), "{unguarded:?}");
     let guarded = cold_start(Guard::TokenBucket);
-    // Cold for three seconds, and two more to full service.
+    // Three seconds cold and two more until full service.
     assert!(guarded[5..].iter().all(|&calls| calls >= LOAD * 95 / 100), "{guarded:?}");
 }
