--- a/crates/model/src/arena.rs
+++ b/crates/model/src/arena.rs
@@ -1,7 +1,7 @@
 //! Append-only storage addressed by small `Copy` keys.
 //!
-//! A configuration is built once and never changed, so references between its parts are indices
-//! that are valid by construction: a key is handed out only for a value that is already stored.
+//! A configuration is immutable once built, so its parts refer to each other by index. A key is
+//! issued only for a stored value and never becomes invalid.
 
 use std::marker::PhantomData;
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// A growable list whose values are reached by [`Key`].
+/// An append-only list whose values are accessed by [`Key`].
 ///
 /// ```
 /// let mut arena = model::arena::Arena::default();
@@ -65,7 +65,7 @@
         &self.values[key.index as usize]
     }
 
-    /// Iterates over keys and values in order of insertion.
+    /// Iterates over keys and values in insertion order.
     pub fn iter(&self) -> impl Iterator<Item = (Key<T>, &T)> {
         self.values
             .iter()
@@ -78,7 +78,7 @@
         self.values.len()
     }
 
-    /// Tells whether nothing is stored.
+    /// Returns whether no value is stored.
     pub fn is_empty(&self) -> bool {
         self.values.is_empty()
     }
--- a/crates/model/src/config.rs
+++ b/crates/model/src/config.rs
@@ -1,7 +1,7 @@
-//! A configuration version and the snapshot that is in force.
+//! Builds and validates configuration snapshots.
 //!
-//! Invariant *whole or nothing*: a [`Snapshot`] is built by [`build`] from every document of a
-//! revision or not at all; no code changes one afterwards.
+//! Atomicity invariant: [`build`] turns all documents of a revision into one immutable
+//! [`Snapshot`], or rejects the revision as a whole.
 
 use serde::{Deserialize, Serialize};
 use std::{collections::HashMap, fmt, sync::Arc};
@@ -18,26 +18,26 @@
     table::Table,
 };
 
-/// Prefix of the keys that hold profiles.
+/// Key prefix of profile documents.
 pub const PROFILES: &str = "profiles/";
 
-/// Prefix of the keys that hold services.
+/// Key prefix of service documents.
 pub const SERVICES: &str = "services/";
 
-/// Prefix of the keys that hold routes.
+/// Key prefix of route documents.
 pub const ROUTES: &str = "routes/";
 
-/// Most faults reported for one version; more would not help an operator and would cost memory.
+/// Maximum number of faults reported for one version; bounds the memory of a report.
 const MAX_FAULTS: usize = 32;
 
-/// Name of one state of the configuration.
+/// Identifies one version of the configuration.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 pub struct Version {
-    /// The platform's revision; 0 before any configuration is in force.
+    /// Revision on the platform; 0 before any configuration is active.
     pub revision: u64,
-    /// Digest of all documents of that revision.
+    /// Digest of all documents at that revision.
     pub digest: crate::document::Digest,
 }
 
@@ -47,25 +47,25 @@
     }
 }
 
-/// A checked, immutable configuration.
+/// A validated, immutable configuration.
 #[derive(Clone, Debug, Default)]
 pub struct Snapshot {
     /// The version it was built from.
     pub version: Version,
     profiles: Arena<Profile>,
-    /// Bounds on what callers may send.
+    /// Limits on callers' requests and connections.
     pub limits: Limits,
     services: Arena<Service>,
     by_name: HashMap<String, Key<Service>>,
     routes: Arena<Route>,
     table: Table,
-    /// Route documents as read, by key: most are the same in the next version.
-    drafts: HashMap<String, Read>,
+    /// Parsed route documents by key, reused by [`rebuild`] where the text is unchanged.
+    parsed_routes: HashMap<String, ParsedRoute>,
 }
 
-/// A route document and what was read from it.
+/// The text of a route document and its parsed form.
 #[derive(Clone, Debug)]
-struct Read {
+struct ParsedRoute {
     text: Arc<str>,
     draft: Arc<route::Draft>,
 }
@@ -76,7 +76,7 @@
         self.by_name.get(name).map(|&key| self.services.get(key))
     }
 
-    /// Returns the profile that `service` runs under.
+    /// Returns the profile of `service`.
     pub fn profile(&self, service: &Service) -> &Profile {
         self.profiles.get(service.profile)
     }
@@ -86,12 +86,12 @@
         self.services.get(key)
     }
 
-    /// Returns whether calls are addressed by routes, and not by the names of services.
+    /// Returns whether calls are addressed by route rather than by service name.
     pub fn has_routes(&self) -> bool {
         !self.routes.is_empty()
     }
 
-    /// Finds the route of `host` with the longest prefix that begins `path`.
+    /// Finds the route of `host` with the longest prefix of `path`.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         self.table.find(host, path).map(|key| self.routes.get(key))
     }
@@ -106,15 +106,16 @@
         self.services.iter().map(|(_, service)| service)
     }
 
-    /// Returns the largest weight of convergence time against bytes of any profile in use.
+    /// Returns the largest `convergence_weight`, in %, of the profiles that services use; 100 if
+    /// there are no services.
     pub fn convergence_weight(&self) -> u32 {
         self.services().map(|s| self.profile(s).convergence_weight).max().unwrap_or(100)
     }
 }
 
-/// Builds the snapshot of `set`, or returns every reason (at most 32) why it is refused.
+/// Builds the snapshot of `set`, or returns the faults (at most 32) for which it is rejected.
 ///
-/// The same documents give the same answer on every node.
+/// The result is deterministic: every node accepts or rejects the same documents.
 ///
 /// ```
 /// use model::{config, document::Set};
@@ -125,12 +126,12 @@
     rebuild(&Snapshot::default(), set)
 }
 
-/// Builds the snapshot of `set` like [`build`], without reading route documents again that
-/// `former` was built from as well.
+/// Builds the snapshot of `set` like [`build`], reusing the parsed routes of `previous` whose
+/// documents are unchanged.
 ///
-/// A configuration of 2,000 routes takes a slow core a tenth of a second to read whole, in which it
-/// carries no calls; versions may come several times a second and change a few routes each.
-pub fn rebuild(former: &Snapshot, set: &Set) -> Result<Snapshot, Vec<Fault>> {
+/// Parsing a large configuration blocks the core from serving calls, and most versions change only
+/// a few routes.
+pub fn rebuild(previous: &Snapshot, set: &Set) -> Result<Snapshot, Vec<Fault>> {
     let mut faults = check_sizes(set);
     if !faults.is_empty() {
         return Err(faults);
@@ -138,11 +139,11 @@
     let mut snapshot = Snapshot { version: set.version(), ..Snapshot::default() };
     let profiles = add_profiles(set, &mut snapshot, &mut faults);
     add_services(set, &profiles, &mut snapshot, &mut faults);
-    add_routes(former, set, &mut snapshot, &mut faults);
+    add_routes(previous, set, &mut snapshot, &mut faults);
     if let Some(document) = set.iter().find(|d| d.key == limits::KEY) {
         snapshot.limits = limits::read(&document.key, &document.text, &mut faults);
     }
-    for document in set.iter().filter(|d| !is_known(&d.key)) {
+    for document in set.iter().filter(|d| !is_known_key(&d.key)) {
         faults.push(Fault::new(
             &document.key,
             "",
@@ -180,7 +181,7 @@
     faults: &mut Vec<Fault>,
 ) -> HashMap<&'a str, Key<Profile>> {
     let mut keys = HashMap::new();
-    for (name, document) in named(set, PROFILES) {
+    for (name, document) in documents_with_prefix(set, PROFILES) {
         check_name(name, document, faults);
         let profile = profile::read(&document.key, name, &document.text, faults);
         keys.insert(name, snapshot.profiles.insert(profile));
@@ -194,22 +195,21 @@
     snapshot: &mut Snapshot,
     faults: &mut Vec<Fault>,
 ) {
-    for (name, document) in named(set, SERVICES) {
+    for (name, document) in documents_with_prefix(set, SERVICES) {
         check_name(name, document, faults);
         let before = faults.len();
-        let wanted = service::read(&document.key, &document.text, faults);
-        match profiles.get(wanted.profile.as_str()) {
+        let draft = service::read(&document.key, &document.text, faults);
+        match profiles.get(draft.profile.as_str()) {
             Some(&profile) => {
-                let service = Service { name: name.to_owned(), profile, warm_up: wanted.warm_up };
+                let service = Service { name: name.to_owned(), profile, warm_up: draft.warm_up };
                 let key = snapshot.services.insert(service);
                 snapshot.by_name.insert(name.to_owned(), key);
             }
-            // A reference to a profile that this revision does not hold: documents crossed on the
-            // way, or a misspelling. Applying the rest would leave a route without its target.
+            // Reject the whole revision: applying the rest would leave routes without a target.
             None if faults.len() == before => {
                 cov_mark::hit!(dangling_profile);
                 let reason =
-                    format!("names the profile \"{}\", which does not exist", wanted.profile);
+                    format!("names the profile \"{}\", which does not exist", draft.profile);
                 faults.push(Fault::new(&document.key, "/profile", reason));
             }
             None => {}
@@ -217,18 +217,18 @@
     }
 }
 
-fn add_routes(former: &Snapshot, set: &Set, snapshot: &mut Snapshot, faults: &mut Vec<Fault>) {
-    for (name, document) in named(set, ROUTES) {
+fn add_routes(previous: &Snapshot, set: &Set, snapshot: &mut Snapshot, faults: &mut Vec<Fault>) {
+    for (name, document) in documents_with_prefix(set, ROUTES) {
         check_name(name, document, faults);
-        let Some(draft) = read_route(former, document, faults) else { continue };
-        let read = Read { text: document.text.clone(), draft: draft.clone() };
-        snapshot.drafts.insert(document.key.clone(), read);
+        let Some(draft) = read_route(previous, document, faults) else { continue };
+        let parsed = ParsedRoute { text: document.text.clone(), draft: draft.clone() };
+        snapshot.parsed_routes.insert(document.key.clone(), parsed);
         let targets = find_targets(&draft.shares, document, snapshot, faults);
         let route = Route { name: name.to_owned(), spec: draft.spec.clone(), targets };
         let key = snapshot.routes.insert(route);
         let (host, prefix) = (&draft.spec.host, &draft.spec.prefix);
         if snapshot.table.insert(host, prefix, key).is_some() {
-            // Two routes for the same calls: which of them holds would depend on their order.
+            // With duplicate prefixes, the route taken would depend on document order.
             let reason = format!("another route of this host has the prefix \"{prefix}\"");
             faults.push(Fault::new(&document.key, "/prefix", reason));
         }
@@ -236,13 +236,14 @@
 }
 
 fn read_route(
-    former: &Snapshot,
+    previous: &Snapshot,
     document: &Document,
     faults: &mut Vec<Fault>,
 ) -> Option<Arc<route::Draft>> {
-    let known = former.drafts.get(&document.key).filter(|read| read.text == document.text);
+    let known =
+        previous.parsed_routes.get(&document.key).filter(|parsed| parsed.text == document.text);
     match known {
-        Some(read) => Some(read.draft.clone()),
+        Some(parsed) => Some(parsed.draft.clone()),
         None => route::read(&document.key, &document.text, faults).map(Arc::new),
     }
 }
@@ -269,7 +270,11 @@
     targets
 }
 
-fn named<'a>(set: &'a Set, prefix: &'static str) -> impl Iterator<Item = (&'a str, &'a Document)> {
+/// Iterates over the documents whose keys start with `prefix`, each with the rest of its key.
+fn documents_with_prefix<'a>(
+    set: &'a Set,
+    prefix: &'static str,
+) -> impl Iterator<Item = (&'a str, &'a Document)> {
     set.iter().filter_map(move |d| d.key.strip_prefix(prefix).map(|name| (name, d)))
 }
 
@@ -283,7 +288,7 @@
     }
 }
 
-fn is_known(key: &str) -> bool {
+fn is_known_key(key: &str) -> bool {
     key.starts_with(PROFILES)
         || key.starts_with(SERVICES)
         || key.starts_with(ROUTES)
--- a/crates/model/src/document.rs
+++ b/crates/model/src/document.rs
@@ -1,4 +1,4 @@
-//! The documents of one revision, as the platform holds them.
+//! Configuration documents as stored on the platform, and deltas between their revisions.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest as _, Sha256};
@@ -11,44 +11,37 @@
 
 use crate::config::Version;
 
-/// Largest document, in bytes; the platform holds no larger value.
+/// Maximum size of a document, in bytes; equals the platform's maximum value size.
 pub const MAX_DOCUMENT_BYTES: usize = 1 << 20;
 
-/// Largest sum of all documents, in bytes; keeps a node's control memory within its bound while
-/// the old set, the new set and a message that carries it exist at once.
+/// Maximum total size of all documents, in bytes. Bounds a node's memory while the old set, the new
+/// set and the message that carries it are held at the same time.
 pub const MAX_SET_BYTES: usize = 4 << 20;
 
-/// Smallest mean size, in bytes, of what the platform holds for one document.
-///
-/// A route that names only what it must takes some 90 bytes there. Services may take less, but each
-/// has an upstream with a node beside it, so there are a few hundred of them at most.
+/// Lower bound on the mean size of a document on the platform, in bytes; a minimal route is larger.
 const MIN_DOCUMENT_BYTES: usize = 64;
 
-/// Most documents in one revision: as many as the platform's largest value can hold. With routes
-/// alone it holds 11,000 to 12,000.
+/// Maximum number of documents in one revision.
 ///
-/// A node that refuses what the platform has accepted serves the version before it for ever, so the
-/// bound may not lie lower. It may not lie much higher either: a route costs some 1.6 KB of
-/// memory while its version and the one before it are held, of which the bound on the sum of texts
-/// counts only a tenth.
+/// Must not be less than the platform accepts, since nodes that reject a revision keep serving the
+/// previous one. Bounds the memory per document, most of which [`MAX_SET_BYTES`] does not count.
 pub const MAX_DOCUMENTS: usize = MAX_DOCUMENT_BYTES / MIN_DOCUMENT_BYTES;
 
-/// Number of groups into which documents are divided by their keys to find differences.
+/// Number of hash buckets into which documents are divided by key for anti-entropy.
 ///
-/// With 2,000 documents of 250 bytes, a group that differs costs 8 KB and the summary of all groups
-/// 1.3 KB.
+/// More buckets make the digest larger and each differing bucket smaller.
 pub const BUCKETS: usize = 64;
 
-/// Most removals that a set remembers for deltas.
+/// Maximum number of tombstones that a set keeps for deltas.
 const MAX_REMOVALS: usize = 256;
 
-/// The first 16 bytes of a SHA-256 hash; equal digests mean equal documents.
+/// A SHA-256 hash truncated to 16 bytes; equal digests mean equal documents.
 #[derive(Clone, Copy, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct Digest([u8; 16]);
 
 impl Digest {
-    /// Hashes `parts`, each preceded by its length so that their borders count.
+    /// Hashes `parts`, each prefixed with its length so that boundaries affect the digest.
     pub fn of<'a>(parts: impl IntoIterator<Item = &'a [u8]>) -> Self {
         let mut hasher = Sha256::new();
         for part in parts {
@@ -94,56 +87,56 @@
     }
 }
 
-/// One value of the platform.
+/// A key and its text, as stored on the platform.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Document {
     /// Key on the platform, such as `profiles/posting`.
     pub key: String,
-    /// Revision at which it was last written.
+    /// Revision of the last write.
     pub modified: u64,
-    /// Its text; shared, since the old and the new set hold mostly the same documents.
+    /// Content, shared between sets that hold the same document.
     pub text: Arc<str>,
 }
 
 impl Document {
-    /// Returns the bytes of its key and text.
+    /// Returns the size of key and text, in bytes.
     fn size(&self) -> usize {
         self.key.len() + self.text.len()
     }
 }
 
-/// A removed document.
+/// Tombstone of a removed document.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Removal {
     /// Key of the removed document.
     pub key: String,
-    /// Revision at or before which it was gone.
+    /// Revision at or before which the document was removed.
     pub revision: u64,
 }
 
-/// What turns one set of documents into another.
+/// Changes from one set of documents to another.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Delta {
-    /// Revision that it leads to.
+    /// Revision of the resulting set.
     pub revision: u64,
-    /// Whether it starts from nothing instead of from the receiver's set.
+    /// Whether the delta applies to an empty set instead of the receiver's.
     pub full: bool,
-    /// Documents written since the receiver's revision, or all.
+    /// Documents written since the receiver's revision; all documents of a full delta.
     pub documents: Vec<Document>,
     /// Documents removed since the receiver's revision.
     pub removed: Vec<Removal>,
-    /// Buckets, see [`Set::buckets`], of which `documents` holds everything: what else the receiver
-    /// has in them is gone.
+    /// Buckets (see [`Set::buckets`]) that `documents` holds completely: the receiver removes any
+    /// other document in them.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub buckets: Vec<usize>,
 }
 
-/// As much of a delta as was asked for.
+/// Part of a delta, up to a size limit.
 #[derive(Clone, Debug, Default)]
 pub struct Chunk {
-    /// What it changes.
+    /// The changes in this chunk.
     pub delta: Delta,
-    /// Whether the receiver lacks more than this.
+    /// Whether further chunks follow.
     pub more: bool,
 }
 
@@ -153,7 +146,7 @@
     revision: u64,
     documents: BTreeMap<String, Document>,
     removed: Vec<Removal>,
-    /// Worked out once: a hash over hundreds of kilobytes takes a slow core milliseconds.
+    /// Cached, since it hashes all documents.
     version: OnceLock<Version>,
     buckets: OnceLock<Vec<u64>>,
 }
@@ -167,17 +160,17 @@
         })
     }
 
-    /// Iterates over the documents in order of their keys.
+    /// Iterates over the documents in key order.
     pub fn iter(&self) -> impl Iterator<Item = &Document> {
         self.documents.values()
     }
 
-    /// Returns the sum of all texts, in bytes.
+    /// Returns the total size of all texts, in bytes.
     pub fn bytes(&self) -> usize {
         self.documents.values().map(|d| d.text.len()).sum()
     }
 
-    /// Returns this set with `delta` applied; the caller checks the result's version.
+    /// Returns this set with `delta` applied. Does not verify the version of the result.
     ///
     /// ```
     /// use model::document::{Delta, Set};
@@ -193,8 +186,8 @@
             next.documents.retain(|key, _| !delta.buckets.contains(&bucket_of(key)));
         }
         for document in delta.documents {
-            // A source that tells every document each time would make all of them look new, and
-            // every delta for others would hold everything.
+            // Keeps the old `modified` of unchanged documents, so that a source that always sends
+            // all documents does not make every delta a full one.
             let same = self.documents.get(&document.key).filter(|old| old.text == document.text);
             let kept = same.filter(|old| old.modified <= document.modified).cloned();
             next.documents.insert(document.key.clone(), kept.unwrap_or(document));
@@ -202,11 +195,11 @@
         next.revision = delta.revision;
         next.version = OnceLock::new();
         next.buckets = OnceLock::new();
-        next.removed = self.removals_of(&next, delta.removed);
+        next.removed = self.merge_removals(&next, delta.removed);
         next
     }
 
-    /// Returns what a holder of revision `have` lacks; `None` asks for everything.
+    /// Returns the delta from revision `have`, or a full delta for `None`.
     pub fn since(&self, have: Option<u64>) -> Delta {
         let base = have.unwrap_or(0);
         let newer = |d: &&Document| have.is_none() || d.modified > base;
@@ -219,10 +212,10 @@
         }
     }
 
-    /// Returns a digest of each bucket of documents.
+    /// Returns the digest of each bucket, a hash of the keys and texts in it.
     ///
-    /// When a document was last modified is what its holder has seen: one that has read everything
-    /// anew takes all for modified. Buckets compare contents, whoever holds them.
+    /// Unlike `modified`, which is local to each holder and reset when it reads all documents again,
+    /// the digests compare equal wherever the content is the same.
     pub fn buckets(&self) -> &[u64] {
         self.buckets.get_or_init(|| {
             let mut buckets = vec![0; BUCKETS];
@@ -233,7 +226,7 @@
         })
     }
 
-    /// Returns the buckets whose digests differ from `theirs`, whole.
+    /// Returns a delta with the complete content of the buckets whose digests differ from `theirs`.
     ///
     /// ```
     /// use model::document::{Delta, Document, Set};
@@ -247,8 +240,8 @@
         self.differing_within(theirs, usize::MAX).delta
     }
 
-    /// Returns the first of the buckets whose digests differ from `theirs`, whole: one at least, and
-    /// as many as hold no more than `limit` bytes.
+    /// Returns like [`Set::differing`] the first differing buckets, up to a total of `limit` bytes
+    /// but at least one.
     pub fn differing_within(&self, theirs: &[u64], limit: usize) -> Chunk {
         let own = self.buckets();
         let mut sizes = [0; BUCKETS];
@@ -273,8 +266,8 @@
         Chunk { delta, more }
     }
 
-    /// Returns what a holder of revision `have` lacks, or nothing of it if that is more than `limit`
-    /// bytes: then it is to be asked for by buckets.
+    /// Returns the delta from revision `have`, or an empty chunk with `more` set if it exceeds
+    /// `limit` bytes; the receiver then compares buckets instead.
     pub fn since_within(&self, have: Option<u64>, limit: usize) -> Chunk {
         let delta = self.since(have);
         let size: usize = delta.documents.iter().map(Document::size).sum();
@@ -284,12 +277,13 @@
         Chunk { delta: Delta { revision: self.revision, ..Delta::default() }, more: true }
     }
 
-    /// Collects the removals that `next` should remember: those told and those seen.
-    fn removals_of(&self, next: &Set, told: Vec<Removal>) -> Vec<Removal> {
+    /// Collects the tombstones that `next` keeps: the known ones, those of documents that `next` lacks,
+    /// and those received.
+    fn merge_removals(&self, next: &Set, received: Vec<Removal>) -> Vec<Removal> {
         let mut removed = self.removed.clone();
-        let gone = self.documents.keys().filter(|key| !next.documents.contains_key(*key));
-        removed.extend(gone.map(|key| Removal { key: key.clone(), revision: next.revision }));
-        for removal in told {
+        let missing = self.documents.keys().filter(|key| !next.documents.contains_key(*key));
+        removed.extend(missing.map(|key| Removal { key: key.clone(), revision: next.revision }));
+        for removal in received {
             if !removed.iter().any(|r| r.key == removal.key && r.revision >= removal.revision) {
                 removed.push(removal);
             }
@@ -308,7 +302,7 @@
 fn hash(document: &Document) -> u64 {
     let mut hasher = Xxh3::new();
     hasher.update(document.key.as_bytes());
-    // No key holds a zero byte, so the border between key and text counts.
+    // Keys hold no zero byte, so this separates key and text unambiguously.
     hasher.update(&[0]);
     hasher.update(document.text.as_bytes());
     hasher.digest()
--- a/crates/model/src/fault.rs
+++ b/crates/model/src/fault.rs
@@ -1,9 +1,9 @@
-//! Faults found in documents and settings, each with its place.
+//! Validation errors in documents and settings, each with its location.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// One reason why a document is not acceptable.
+/// One validation error of a document or a settings file.
 ///
 /// ```
 /// let fault = model::fault::Fault::new("profiles/counter", "/deadline_ms", "must be a number");
@@ -11,16 +11,16 @@
 /// ```
 #[derive(Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Fault {
-    /// The document's key on the platform, or the path of the file that holds it.
+    /// Key of the document on the platform, or path of the file.
     pub document: String,
-    /// JSON pointer (RFC 6901) to the offending value; empty for the whole document.
+    /// JSON pointer (RFC 6901) to the invalid value; empty for the whole document.
     pub pointer: String,
-    /// What is wrong, in one line.
+    /// Description of the error, in one line.
     pub reason: String,
 }
 
 impl Fault {
-    /// Creates a fault of `document` at `pointer`.
+    /// Creates a fault of `document` at the JSON pointer `pointer`.
     pub fn new(
         document: impl Into<String>,
         pointer: impl Into<String>,
--- a/crates/model/src/json.rs
+++ b/crates/model/src/json.rs
@@ -1,9 +1,7 @@
-//! JSON parsing that refuses what `serde_json` silently accepts.
+//! JSON parsing that rejects duplicate keys.
 //!
-//! `serde_json::Value` keeps the last of two equal keys. An operator who pastes a field twice
-//! would see one of the two values in force without being told which, so duplicate keys are
-//! faults here. Nesting is bounded by `serde_json` itself (128 levels), so that a hostile document
-//! cannot exhaust the stack.
+//! `serde_json::Value` silently keeps the last of two equal keys. `serde_json` itself limits nesting
+//! to 128 levels, so a malicious document can't exhaust the stack.
 
 use serde::de::{DeserializeSeed, Deserializer, Error, MapAccess, SeqAccess, Visitor};
 use serde_json::{Map, Number, Value};
@@ -13,8 +11,8 @@
 
 /// Parses `text` as one JSON value without duplicate keys.
 ///
-/// The fault's pointer names the object that holds a duplicate key; a syntax error has an empty
-/// pointer and carries line and column in its reason.
+/// For a duplicate key, the fault's pointer is that of the key; for a syntax error it is empty and
+/// the reason contains line and column.
 ///
 /// ```
 /// let fault = model::json::parse("services/x", r#"{"profile": "a", "profile": "b"}"#).unwrap_err();
@@ -23,7 +21,7 @@
 pub fn parse(document: &str, text: &str) -> Result<Value, Fault> {
     let mut duplicate = None;
     let mut input = serde_json::Deserializer::from_str(text);
-    let seed = Node { place: Place::Top, duplicate: &mut duplicate };
+    let seed = ValueSeed { location: Location::Root, duplicate: &mut duplicate };
     let parsed = seed.deserialize(&mut input).and_then(|value| input.end().map(|()| value));
     if let Some(pointer) = duplicate {
         return Err(Fault::new(document, pointer, "the key is given twice"));
@@ -31,37 +29,37 @@
     parsed.map_err(|e| Fault::new(document, "", format!("not valid JSON: {e}")))
 }
 
-/// Appends `segment` to a JSON pointer, escaped as RFC 6901 asks.
+/// Appends `segment` to a JSON pointer, escaped according to RFC 6901.
 pub fn join_pointer(pointer: &str, segment: &str) -> String {
     format!("{pointer}/{}", segment.replace('~', "~0").replace('/', "~1"))
 }
 
-/// Where a value stands. The pointer to it is put together only for a fault: to do so for every
-/// value would take longer than the parsing.
+/// Location of a value. Converted to a JSON pointer only for a fault, since building the pointer of
+/// every value would cost more than parsing.
 #[derive(Clone, Copy)]
-enum Place<'a> {
-    Top,
-    Field(&'a Place<'a>, &'a str),
-    Item(&'a Place<'a>, usize),
+enum Location<'a> {
+    Root,
+    Field(&'a Location<'a>, &'a str),
+    Element(&'a Location<'a>, usize),
 }
 
-impl Place<'_> {
+impl Location<'_> {
     fn pointer(&self) -> String {
         match self {
-            Place::Top => String::new(),
-            Place::Field(above, name) => join_pointer(&above.pointer(), name),
-            Place::Item(above, index) => join_pointer(&above.pointer(), &index.to_string()),
+            Location::Root => String::new(),
+            Location::Field(parent, name) => join_pointer(&parent.pointer(), name),
+            Location::Element(parent, index) => join_pointer(&parent.pointer(), &index.to_string()),
         }
     }
 }
 
-/// Deserializes one value and notes the first duplicate key below it.
-struct Node<'a> {
-    place: Place<'a>,
+/// Deserializes one value and records the first duplicate key within it.
+struct ValueSeed<'a> {
+    location: Location<'a>,
     duplicate: &'a mut Option<String>,
 }
 
-impl<'de> DeserializeSeed<'de> for Node<'_> {
+impl<'de> DeserializeSeed<'de> for ValueSeed<'_> {
     type Value = Value;
 
     fn deserialize<D: Deserializer<'de>>(self, deserializer: D) -> Result<Value, D::Error> {
@@ -69,7 +67,7 @@
     }
 }
 
-impl<'de> Visitor<'de> for Node<'_> {
+impl<'de> Visitor<'de> for ValueSeed<'_> {
     type Value = Value;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -104,8 +102,8 @@
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Value, A::Error> {
         let mut items = Vec::new();
         loop {
-            let place = Place::Item(&self.place, items.len());
-            let seed = Node { place, duplicate: self.duplicate };
+            let location = Location::Element(&self.location, items.len());
+            let seed = ValueSeed { location, duplicate: self.duplicate };
             match seq.next_element_seed(seed)? {
                 Some(item) => items.push(item),
                 None => return Ok(Value::Array(items)),
@@ -116,11 +114,11 @@
     fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Value, A::Error> {
         let mut object = Map::new();
         while let Some(key) = map.next_key::<String>()? {
-            let place = Place::Field(&self.place, &key);
+            let location = Location::Field(&self.location, &key);
             if object.contains_key(&key) {
-                self.duplicate.get_or_insert_with(|| place.pointer());
+                self.duplicate.get_or_insert_with(|| location.pointer());
             }
-            let value = map.next_value_seed(Node { place, duplicate: self.duplicate })?;
+            let value = map.next_value_seed(ValueSeed { location, duplicate: self.duplicate })?;
             object.insert(key, value);
         }
         Ok(Value::Object(object))
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,8 +1,7 @@
-//! Configuration as a value: what operators publish, how it is checked, and what it becomes.
+//! Configuration documents, their validation, and the snapshots built from them.
 //!
-//! This crate exists so that the node and `baobabctl check` judge a document by the same code. It
-//! performs no I/O and knows neither time, peers nor the platform. It is an API border: its types
-//! are shared by every other crate.
+//! The node and `baobabctl check` share this crate, so both validate documents alike. It performs no
+//! I/O and reads no clock. Its types are used by every other crate.
 
 pub mod arena;
 pub mod config;
--- a/crates/model/src/profile.rs
+++ b/crates/model/src/profile.rs
@@ -1,16 +1,16 @@
-//! Profiles: how traffic to a service behaves.
+//! Profiles: timeouts, retries, queueing and size limits of the calls to a service.
 //!
-//! Every limit is written down once, in [`FIELDS`], which the reader uses and from which the
-//! reference page is generated, so that page and behaviour cannot drift apart.
+//! [`FIELDS`] is the single definition of ranges and defaults; both the parser and the generated
+//! reference page use it.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{fault::Fault, json, read::Object};
 
-/// Most routes in one profile.
+/// Maximum number of path exceptions (`routes`) in one profile.
 pub const MAX_ROUTES: usize = 64;
 
-/// A number that a profile can set.
+/// Definition of a numeric field of a profile.
 #[derive(Clone, Copy, Debug)]
 pub struct Field {
     /// Name in the document.
@@ -21,9 +21,9 @@
     pub low: u64,
     /// Largest accepted value.
     pub high: u64,
-    /// Value in force where the document is silent.
+    /// Value used where the document has none.
     pub default: u64,
-    /// What the field decides.
+    /// Description for the reference page.
     pub help: &'static str,
 }
 
@@ -35,7 +35,7 @@
         low: 1,
         high: 600_000,
         default: 2_000,
-        help: "time a call may take where the caller names none; a caller's longer wish is cut to this",
+        help: "default and maximum deadline of a call; a longer deadline of the caller is reduced to this",
     },
     Field {
         name: "attempts",
@@ -43,7 +43,7 @@
         low: 1,
         high: 5,
         default: 3,
-        help: "most upstreams that one call is offered to",
+        help: "maximum number of upstreams tried per call",
     },
     Field {
         name: "retry_budget_percent",
@@ -51,7 +51,7 @@
         low: 0,
         high: 100,
         default: 10,
-        help: "retries allowed per node and service, as a share of first attempts, after an attempt that may have loaded an upstream",
+        help: "retry budget per node and service, as a share of first attempts, for retries after an attempt that may have loaded an upstream",
     },
     Field {
         name: "queue_limit",
@@ -59,7 +59,7 @@
         low: 0,
         high: 1_000,
         default: 16,
-        help: "requests that may wait at an upstream's node for a slot",
+        help: "maximum number of requests in the admission queue of an upstream's node",
     },
     Field {
         name: "slow_start_ms",
@@ -67,7 +67,7 @@
         low: 0,
         high: 600_000,
         default: 2_000,
-        help: "time over which a new upstream's share of calls rises to its full value",
+        help: "slow start: time over which a new upstream's share of calls rises to its full value",
     },
     Field {
         name: "drain_ms",
@@ -75,7 +75,7 @@
         low: 0,
         high: 600_000,
         default: 30_000,
-        help: "longest time a stopping node waits for the calls in flight",
+        help: "maximum time that a stopping node waits for calls in flight",
     },
     Field {
         name: "max_request_bytes",
@@ -83,7 +83,7 @@
         low: 1,
         high: 67_108_864,
         default: 8_388_608,
-        help: "largest request body; a larger one is refused with 413",
+        help: "maximum size of a request body; a larger one is answered with 413",
     },
     Field {
         name: "max_answer_bytes",
@@ -91,7 +91,7 @@
         low: 1,
         high: 67_108_864,
         default: 8_388_608,
-        help: "largest answer body; a larger one is not passed on",
+        help: "maximum size of an answer body; a larger one is not forwarded",
     },
     Field {
         name: "upload_ms",
@@ -99,7 +99,7 @@
         low: 100,
         high: 600_000,
         default: 10_000,
-        help: "longest time in which a request body must arrive; a slower one is refused with 408",
+        help: "time limit for receiving a request body; a slower one is answered with 408",
     },
     Field {
         name: "idle_ms",
@@ -107,7 +107,7 @@
         low: 100,
         high: 600_000,
         default: 5_000,
-        help: "a kept connection unused for longer is replaced before a non-idempotent call",
+        help: "idle time after which a kept-alive connection is replaced before a non-idempotent call",
     },
     Field {
         name: "convergence_weight",
@@ -115,7 +115,7 @@
         low: 0,
         high: 100,
         default: 50,
-        help: "weight of convergence time against control bytes when a version spreads; the largest of all profiles in force counts",
+        help: "weight of convergence time against control traffic when a version is disseminated; the largest value of all active profiles applies",
     },
     Field {
         name: "refused_status",
@@ -123,66 +123,66 @@
         low: 0,
         high: 599,
         default: 0,
-        help: "status by which this service's upstreams say that they have not begun the work; 0 for none",
+        help: "status with which upstreams of this service reject a request before processing it; 0 for none",
     },
 ];
 
-/// How traffic to a service behaves. Units are those of [`FIELDS`].
+/// Traffic settings of a service. Units are those of [`FIELDS`].
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Profile {
-    /// Name by which services refer to it.
+    /// Name that service documents refer to.
     pub name: String,
-    /// Time a call may take, in ms.
+    /// Default and maximum deadline of a call, in ms.
     pub deadline_ms: u64,
-    /// Most upstreams that one call is offered to.
+    /// Maximum number of upstreams tried per call.
     pub attempts: u32,
-    /// Retries per hundred first attempts.
+    /// Retry budget, in % of first attempts.
     pub retry_budget_percent: u32,
-    /// Requests that may wait for a slot.
+    /// Capacity of the admission queue, in requests.
     pub queue_limit: usize,
-    /// Ramp of a new upstream, in ms.
+    /// Duration of the slow start of a new upstream, in ms.
     pub slow_start_ms: u64,
-    /// Bound on a planned stop, in ms.
+    /// Maximum time to drain calls on shutdown, in ms.
     pub drain_ms: u64,
-    /// Largest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_request_bytes: usize,
-    /// Largest answer body, in bytes.
+    /// Maximum size of an answer body, in bytes.
     pub max_answer_bytes: usize,
-    /// Bound on receiving a request body, in ms.
+    /// Time limit for receiving a request body, in ms.
     pub upload_ms: u64,
-    /// Bound on trusting an unused connection, in ms.
+    /// Idle time after which a connection is not reused for a non-idempotent call, in ms.
     pub idle_ms: u64,
-    /// Weight of convergence time against control bytes, in %.
+    /// Weight of convergence time against control traffic, in %.
     pub convergence_weight: u32,
-    /// Status that proves a refusal before the work began.
+    /// Status with which an upstream rejects a request before processing it.
     pub refused_status: Option<u16>,
-    /// Whether upstreams of other data centres may be used when none of the own is able.
+    /// Whether calls fail over to other data centres when no local upstream is available.
     pub spill: bool,
     /// Methods whose calls are idempotent on every path.
     pub idempotent_methods: Vec<String>,
-    /// Paths that differ from the rest, first match wins.
+    /// Exceptions by path; the first match applies.
     pub routes: Vec<Route>,
 }
 
-/// Exception for the paths that begin with `prefix`.
+/// Settings for calls whose path starts with `prefix`.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Route {
-    /// Path prefix, after the service's name.
+    /// Path prefix, without the service name.
     pub prefix: String,
-    /// Methods it applies to; empty for all.
+    /// HTTP methods it applies to; empty for all.
     pub methods: Vec<String>,
-    /// Whether these calls may be run more than once.
+    /// Whether these calls may be executed more than once.
     pub idempotent: bool,
-    /// Time a call may take, in ms; 0 for the profile's.
+    /// Maximum deadline of a call, in ms; 0 for the profile's.
     pub deadline_ms: u64,
 }
 
-/// What a profile says about one call.
+/// The settings of a profile that apply to one call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Rule {
-    /// Whether the call may be run more than once.
+    /// Whether the call may be executed more than once.
     pub idempotent: bool,
-    /// Time the call may take, in ms.
+    /// Maximum deadline of the call, in ms.
     pub deadline_ms: u64,
 }
 
@@ -195,7 +195,7 @@
 }
 
 impl Profile {
-    /// Returns what holds for a call of `method` on `path` (without the service's name).
+    /// Returns the rule for a call of `method` on `path` (without the service name).
     ///
     /// ```
     /// let rule = model::profile::Profile::default().rule("POST", "/payments");
@@ -203,10 +203,11 @@
     /// ```
     pub fn rule(&self, method: &str, path: &str) -> Rule {
         for route in &self.routes {
-            let method_fits = route.methods.is_empty() || route.methods.iter().any(|m| m == method);
-            if method_fits && path.starts_with(&route.prefix) {
-                let own = route.deadline_ms;
-                let deadline_ms = if own == 0 { self.deadline_ms } else { own };
+            let method_matches =
+                route.methods.is_empty() || route.methods.iter().any(|m| m == method);
+            if method_matches && path.starts_with(&route.prefix) {
+                let limit = route.deadline_ms;
+                let deadline_ms = if limit == 0 { self.deadline_ms } else { limit };
                 return Rule { idempotent: route.idempotent, deadline_ms };
             }
         }
@@ -215,9 +216,9 @@
     }
 }
 
-/// Reads the profile `name` from `text`, adding every fault under the name `document`.
+/// Parses the profile `name` from `text`; adds each fault to `faults`, attributed to `document`.
 ///
-/// The result is meaningful only when no fault was added.
+/// The result is valid only if no fault was added.
 pub fn read(document: &str, name: &str, text: &str, faults: &mut Vec<Fault>) -> Profile {
     let value = match json::parse(document, text) {
         Ok(value) => value,
@@ -257,7 +258,7 @@
     }
     let spill = object.flag("spill", true);
     let idempotent_methods =
-        object.texts("idempotent_methods", METHOD_SHAPE, is_method, &["GET", "HEAD"]);
+        object.texts("idempotent_methods", METHOD_FORMAT, is_method, &["GET", "HEAD"]);
     let routes = object.objects("routes", MAX_ROUTES, read_route);
     Profile {
         name,
@@ -282,13 +283,13 @@
 fn read_route(object: &mut Object<'_>) -> Route {
     Route {
         prefix: object.text("prefix", "a path that begins with /", |text| text.starts_with('/')),
-        methods: object.texts("methods", METHOD_SHAPE, is_method, &[]),
+        methods: object.texts("methods", METHOD_FORMAT, is_method, &[]),
         idempotent: object.flag("idempotent", false),
         deadline_ms: object.number("deadline_ms", 0..=600_000, 0),
     }
 }
 
-const METHOD_SHAPE: &str = "an HTTP method in capitals";
+const METHOD_FORMAT: &str = "an HTTP method in capitals";
 
 fn is_method(text: &str) -> bool {
     !text.is_empty() && text.len() <= 20 && text.bytes().all(|b| b.is_ascii_uppercase())
--- a/crates/model/src/read.rs
+++ b/crates/model/src/read.rs
@@ -1,19 +1,17 @@
-//! Reading typed fields out of a JSON object while collecting every fault.
+//! Reads typed fields from a JSON object and collects every fault.
 //!
-//! `serde`'s derive stops at the first error. Operators fix a document faster when all of its
-//! faults are listed at once, so fields are taken one by one and faults are gathered on the way.
-//! Fields that nobody takes are faults too: a misspelt optional field would otherwise silently
-//! leave its default in force.
+//! `serde`'s derive stops at the first error, so fields are taken one by one instead. Fields left
+//! over are faults, so that a misspelt optional field does not silently keep its default.
 
 use serde_json::{Map, Value};
 use std::ops::RangeInclusive;
 
 use crate::{fault::Fault, json};
 
-/// The longest name of a profile, service, data centre or region, in bytes.
+/// Maximum length of the name of a profile, service, data centre or region, in bytes.
 pub const MAX_NAME_BYTES: usize = 63;
 
-/// An object being read; fields are removed as they are taken.
+/// An object being parsed; fields are removed as they are taken.
 pub struct Object<'a> {
     document: &'a str,
     pointer: String,
@@ -22,12 +20,12 @@
 }
 
 impl<'a> Object<'a> {
-    /// Starts reading `value`, which should be an object; any other value is one fault.
+    /// Starts parsing `value`; if it is not an object, adds a fault and treats it as empty.
     pub fn new(document: &'a str, pointer: &str, value: Value, faults: &'a mut Vec<Fault>) -> Self {
         let fields = match value {
             Value::Object(fields) => fields,
             other => {
-                let reason = format!("must be an object, not {}", kind(&other));
+                let reason = format!("must be an object, not {}", type_name(&other));
                 faults.push(Fault::new(document, pointer, reason));
                 Map::new()
             }
@@ -35,7 +33,7 @@
         Object { document, pointer: pointer.to_owned(), fields, faults }
     }
 
-    /// Takes a whole number within `range`, or `default` where the field is absent.
+    /// Takes an integer within `range`, or `default` if the field is absent or invalid.
     pub fn number(&mut self, name: &str, range: RangeInclusive<u64>, default: u64) -> u64 {
         let Some(value) = self.fields.remove(name) else { return default };
         match value.as_u64() {
@@ -51,36 +49,36 @@
         }
     }
 
-    /// Takes a boolean, or `default` where the field is absent.
+    /// Takes a boolean, or `default` if the field is absent or invalid.
     pub fn flag(&mut self, name: &str, default: bool) -> bool {
         match self.fields.remove(name) {
             None => default,
             Some(Value::Bool(value)) => value,
             Some(other) => {
-                self.fault(name, format!("must be true or false, not {}", kind(&other)));
+                self.fault(name, format!("must be true or false, not {}", type_name(&other)));
                 default
             }
         }
     }
 
-    /// Takes a required string that `valid` accepts; `shape` describes what is accepted.
-    pub fn text(&mut self, name: &str, shape: &str, valid: impl Fn(&str) -> bool) -> String {
+    /// Takes a required string that satisfies `valid`; `format` describes valid strings in faults.
+    pub fn text(&mut self, name: &str, format: &str, valid: impl Fn(&str) -> bool) -> String {
         match self.fields.remove(name) {
             Some(Value::String(text)) if valid(&text) => return text,
-            Some(other) => self.fault(name, format!("must be {shape}, not {other}")),
-            None => self.fault(name, format!("is missing; it must be {shape}")),
+            Some(other) => self.fault(name, format!("must be {format}, not {other}")),
+            None => self.fault(name, format!("is missing; it must be {format}")),
         }
         String::new()
     }
 
-    /// Takes a string that `valid` accepts, or nothing where the field is absent.
+    /// Takes a string that satisfies `valid`; `None` if the field is absent.
     pub fn optional_text(
         &mut self,
         name: &str,
-        shape: &str,
+        format: &str,
         valid: impl Fn(&str) -> bool,
     ) -> Option<String> {
-        self.fields.contains_key(name).then(|| self.text(name, shape, valid))
+        self.fields.contains_key(name).then(|| self.text(name, format, valid))
     }
 
     /// Takes a required name, see [`is_name`].
@@ -88,15 +86,15 @@
         self.text(name, "a name (1 to 63 of a-z, 0-9 and -)", is_name)
     }
 
-    /// Takes a list of strings that `valid` accepts, or `default` where the field is absent.
+    /// Takes a list of strings that satisfy `valid`, or `default` if the field is absent.
     pub fn texts(
         &mut self,
         name: &str,
-        shape: &str,
+        format: &str,
         valid: impl Fn(&str) -> bool,
         default: &[&str],
     ) -> Vec<String> {
-        let Some(items) = self.items(name) else {
+        let Some(items) = self.take_list(name) else {
             return default.iter().map(|&text| text.to_owned()).collect();
         };
         let mut texts = Vec::new();
@@ -104,21 +102,21 @@
             match item {
                 Value::String(text) if valid(&text) => texts.push(text),
                 other => {
-                    self.fault(&format!("{name}/{i}"), format!("must be {shape}, not {other}"))
+                    self.fault(&format!("{name}/{i}"), format!("must be {format}, not {other}"))
                 }
             }
         }
         texts
     }
 
-    /// Takes a list of objects and reads each with `each`; absent means empty.
+    /// Takes a list of at most `limit` objects and parses each with `each`; empty if absent.
     pub fn objects<T>(
         &mut self,
         name: &str,
         limit: usize,
         mut each: impl FnMut(&mut Object<'_>) -> T,
     ) -> Vec<T> {
-        let items = self.items(name).unwrap_or_default();
+        let items = self.take_list(name).unwrap_or_default();
         if items.len() > limit {
             self.fault(name, format!("holds {} items, more than {limit}", items.len()));
             return Vec::new();
@@ -134,8 +132,8 @@
         values
     }
 
-    /// Takes an object and reads it with `each`; absent reads an empty object, so that its
-    /// required fields are reported one by one.
+    /// Takes an object and parses it with `each`. An absent one is parsed as empty, so that each of
+    /// its missing required fields is reported.
     pub fn object<T>(&mut self, name: &str, each: impl FnOnce(&mut Object<'_>) -> T) -> T {
         let value = self.fields.remove(name).unwrap_or_else(|| Value::Object(Map::new()));
         let pointer = json::join_pointer(&self.pointer, name);
@@ -145,7 +143,7 @@
         result
     }
 
-    /// Tells whether the field is present and not yet taken.
+    /// Returns whether the field is present and not yet taken.
     pub fn has(&self, name: &str) -> bool {
         self.fields.contains_key(name)
     }
@@ -156,7 +154,7 @@
         self.faults.push(Fault::new(self.document, pointer, reason));
     }
 
-    /// Reports every field that was not taken.
+    /// Adds a fault for every field that was not taken.
     pub fn finish(&mut self) {
         for name in std::mem::take(&mut self.fields).keys() {
             let pointer = json::join_pointer(&self.pointer, name);
@@ -164,18 +162,18 @@
         }
     }
 
-    fn items(&mut self, name: &str) -> Option<Vec<Value>> {
+    fn take_list(&mut self, name: &str) -> Option<Vec<Value>> {
         match self.fields.remove(name)? {
             Value::Array(items) => Some(items),
             other => {
-                self.fault(name, format!("must be a list, not {}", kind(&other)));
+                self.fault(name, format!("must be a list, not {}", type_name(&other)));
                 Some(Vec::new())
             }
         }
     }
 }
 
-/// Tells whether `text` is a name: 1 to 63 of `a-z`, `0-9` and `-`.
+/// Returns whether `text` is a valid name: 1 to 63 of `a-z`, `0-9` and `-`.
 ///
 /// ```
 /// assert!(model::read::is_name("ktm-a"));
@@ -186,7 +184,7 @@
     !text.is_empty() && text.len() <= MAX_NAME_BYTES && text.bytes().all(allowed)
 }
 
-fn kind(value: &Value) -> &'static str {
+fn type_name(value: &Value) -> &'static str {
     match value {
         Value::Null => "null",
         Value::Bool(_) => "a boolean",
--- a/crates/model/src/request.rs
+++ b/crates/model/src/request.rs
@@ -1,20 +1,20 @@
-//! What a request asks for, told apart from who asks when and by which way.
+//! Request fingerprints: identify repeats of the same request, independent of caller and time.
 
 use serde::{Deserialize, Serialize};
 use std::{fmt, time::Duration};
 
-/// How long before the end of an upstream an answer to a request shows that the request did not cause it: longer
-/// than a call lasts.
+/// A request answered within this time before an upstream crashed is not suspected of causing the
+/// crash. Longer than a call takes.
 pub const EXONERATION_WINDOW: Duration = Duration::from_secs(10);
 
-/// Identifies what a request asks for.
+/// Hash that identifies requests with the same content.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 pub struct Fingerprint(pub u64);
 
 impl fmt::Display for Fingerprint {
-    /// Writes it as operators read it in logs.
+    /// Formats the fingerprint as 16 hexadecimal digits, as in logs.
     ///
     /// ```
     /// assert_eq!(model::request::Fingerprint(255).to_string(), "00000000000000ff");
@@ -24,11 +24,11 @@
     }
 }
 
-/// A request that ran when an upstream ended.
+/// A request that was running when an upstream crashed, and may be a poison request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Suspect {
-    /// What it asked for.
+    /// Fingerprint of the request.
     pub request: Fingerprint,
-    /// What operators read of it: method, host and path.
+    /// Method, host and path, for operators.
     pub label: String,
 }
--- a/crates/model/src/route.rs
+++ b/crates/model/src/route.rs
@@ -1,8 +1,7 @@
-//! Routes: which service a call goes to, by host and path, and what holds for it on the way.
+//! Routes: map host and path of a call to services, with the call's timeouts and priority.
 //!
-//! A configuration without routes addresses services by name; one with routes sends calls only
-//! where a route leads. The two are never mixed: a path that happens to begin with a service's
-//! name must not reach a service that no route sends it to.
+//! Without routes, a call's path starts with the name of its service. With routes, only routes are
+//! used, so that a path that starts with a service's name can't bypass them.
 
 use serde::{Deserialize, Serialize};
 use std::{ops::RangeInclusive, sync::Arc};
@@ -15,71 +14,70 @@
     service::Service,
 };
 
-/// Most services that one route is split over; far above the number of services of a fleet. Each
-/// call goes through all weights of its route.
+/// Maximum number of targets of one route; bounds the cost per call, which scans all weights.
 pub const MAX_TARGETS: usize = 256;
 
-/// Largest weight of one target.
+/// Maximum weight of one target.
 pub const MAX_WEIGHT: u64 = 1_000_000;
 
-/// Ranks of calls; 0 is the most urgent.
+/// Accepted values of `priority`; 0 is the most urgent.
 pub const PRIORITIES: RangeInclusive<u64> = 0..=15;
 
-/// Bounds between which the number of upstreams lies that one call is offered to.
+/// Accepted values of `attempts`, the maximum number of upstreams tried per call.
 pub const ATTEMPTS: RangeInclusive<u64> = 1..=5;
 
-/// Bounds between which the times lie that a route grants a call, in ms.
+/// Accepted values of `timeout_ms` and `objective_ms`.
 pub const TIMES_MS: RangeInclusive<u64> = 1..=600_000;
 
-/// What may be repeated, and how much is carried.
+/// Whether calls may be retried after execution, and whether bodies are large.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// Calls that may run more than once.
+    /// Calls that may be executed more than once.
     Idempotent,
-    /// Calls that may run at most once.
+    /// Calls that must be executed at most once.
     Once,
-    /// Calls with large bodies that may run at most once.
+    /// Calls with large bodies that must be executed at most once.
     Upload,
 }
 
 const KINDS: [(&str, Kind); 3] =
     [("idempotent", Kind::Idempotent), ("once", Kind::Once), ("upload", Kind::Upload)];
 
-/// A service and its share of a route's calls, as a document names it.
+/// A target of a route as in the document: the service's name and its weight.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Share {
     /// Name of the service.
     pub service: String,
-    /// Weight relative to the other shares.
+    /// Weight relative to the route's other targets.
     pub weight: u32,
 }
 
-/// A service of the same snapshot and its share of a route's calls.
+/// A target of a route: a service of the same snapshot and its weight.
 #[derive(Clone, Copy, Debug)]
 pub struct Target {
-    /// The service.
+    /// Key of the service in the snapshot.
     pub service: Key<Service>,
-    /// Weight relative to the other targets.
+    /// Weight relative to the route's other targets.
     pub weight: u32,
 }
 
-/// What holds for the calls of one route, whichever service they go to.
+/// Matching criteria and call settings of a route, independent of the target.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Spec {
-    /// The part of the `Host` header before the port, in lower case.
+    /// `Host` header without port, in lower case.
     pub host: String,
-    /// Beginning of the path, from slash to slash.
+    /// Path prefix; begins and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether calls may be retried after execution.
     pub kind: Kind,
-    /// Most upstreams that one call is offered to.
+    /// Maximum number of upstreams tried per call.
     pub attempts: u32,
-    /// Longest time until the final answer, in ms.
+    /// Time limit until the final answer, in ms.
     pub timeout_ms: u64,
-    /// Time within which an answer is worth most to its caller, in ms.
+    /// Latency objective, in ms: answers that miss it are worth less to the caller.
     pub objective_ms: u64,
-    /// Rank among the calls of one service; 0 is the most urgent.
+    /// Priority among the calls of one service; 0 is the most urgent.
     pub priority: u8,
 }
 
@@ -88,22 +86,23 @@
 pub struct Route {
     /// Name of its document.
     pub name: String,
-    /// What holds for its calls; shared with the draft that it was read into.
+    /// Matching criteria and call settings, shared with the [`Draft`].
     pub spec: Arc<Spec>,
-    /// Services it leads to; at least one has a weight.
+    /// Services that receive the calls; at least one has a weight above 0.
     pub targets: Vec<Target>,
 }
 
-/// A route as its document tells it; the services are still to be found.
+/// A parsed route document whose service names are not yet resolved.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Draft {
-    /// What holds for its calls.
+    /// Matching criteria and call settings.
     pub spec: Arc<Spec>,
-    /// Services by name.
+    /// Targets by service name.
     pub shares: Vec<Share>,
 }
 
-/// Reads a route out of `text`, adding every fault under the name `document`.
+/// Parses a route from `text`; adds each fault to `faults`, attributed to `document`, and returns
+/// `None` if there is any.
 ///
 /// ```
 /// let mut faults = Vec::new();
@@ -149,8 +148,8 @@
 
 fn read_kind(object: &mut Object<'_>) -> Kind {
     let find = |text: &str| KINDS.iter().find(|(name, _)| *name == text).map(|(_, kind)| *kind);
-    let shape = "\"idempotent\", \"once\" or \"upload\"";
-    let text = object.text("kind", shape, |text| find(text).is_some());
+    let format = "\"idempotent\", \"once\" or \"upload\"";
+    let text = object.text("kind", format, |text| find(text).is_some());
     find(&text).unwrap_or(Kind::Once)
 }
 
--- a/crates/model/src/service.rs
+++ b/crates/model/src/service.rs
@@ -1,37 +1,37 @@
-//! Services: which profile each one follows, and what its upstreams bear after a start.
+//! Services: the profile of each, and the call rate that its cold upstreams can take.
 
 use std::{ops::RangeInclusive, time::Duration};
 
 use crate::{arena::Key, fault::Fault, json, profile::Profile, read::Object};
 
-/// Bounds between which the calls per minute that a cold upstream bears may lie.
+/// Accepted values of `calls_per_min`, the call rate that a cold upstream can take.
 pub const COLD_CALLS_PER_MIN: RangeInclusive<u64> = 1..=60_000_000;
 
-/// Bounds between which the time for which an upstream is cold may lie, in ms.
+/// Accepted values of `length_ms`, the time for which an upstream is cold after its start.
 pub const COLD_MS: RangeInclusive<u64> = 0..=3_600_000;
 
-/// A service and the profile it runs under.
+/// A service and its profile.
 #[derive(Clone, Debug)]
 pub struct Service {
     /// Name by which callers address it.
     pub name: String,
     /// Its profile, in the same snapshot.
     pub profile: Key<Profile>,
-    /// What its upstreams bear while they are cold; none where that is no less than later.
+    /// Rate limit of its upstreams while they are cold; `None` for no limit.
     pub warm_up: Option<WarmUp>,
 }
 
-/// What an upstream bears while it is cold.
+/// Rate limit of an upstream while it is cold.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct WarmUp {
-    /// Calls per minute.
+    /// Maximum calls per minute.
     pub calls_per_min: u64,
-    /// How long an upstream stays cold.
+    /// Time for which an upstream is cold after its start.
     pub length: Duration,
 }
 
 impl WarmUp {
-    /// Returns the calls per second.
+    /// Returns the maximum calls per second.
     ///
     /// ```
     /// use model::service::WarmUp;
@@ -44,16 +44,16 @@
     }
 }
 
-/// A service document as read.
+/// A parsed service document whose profile is not yet resolved.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Draft {
     /// Name of the profile.
     pub profile: String,
-    /// What its upstreams bear while they are cold.
+    /// Rate limit of its upstreams while they are cold.
     pub warm_up: Option<WarmUp>,
 }
 
-/// Reads a service document, adding every fault.
+/// Parses a service document; adds each fault to `faults`, attributed to `document`.
 ///
 /// ```
 /// let mut faults = Vec::new();
@@ -71,12 +71,12 @@
         }
     };
     let mut object = Object::new(document, "", value, faults);
-    let draft = Draft { profile: object.name("profile"), warm_up: warm_up(&mut object) };
+    let draft = Draft { profile: object.name("profile"), warm_up: read_warm_up(&mut object) };
     object.finish();
     draft
 }
 
-fn warm_up(object: &mut Object<'_>) -> Option<WarmUp> {
+fn read_warm_up(object: &mut Object<'_>) -> Option<WarmUp> {
     if !object.has("warm_up") {
         return None;
     }
--- a/crates/model/src/table.rs
+++ b/crates/model/src/table.rs
@@ -1,14 +1,12 @@
-//! The routes of a configuration by host and prefix.
+//! Route lookup by host and longest path prefix.
 
 use std::collections::HashMap;
 
 use crate::{arena::Key, route::Route};
 
-/// Finds the route of a call at a cost that does not grow with the number of routes.
+/// Route table whose lookup cost depends on the number of distinct prefix lengths, not of routes.
 ///
-/// All routes may share one host, some 12,000 of them in the largest configuration. To compare a
-/// path with each prefix in turn would cost every call of such a host several microseconds, and the
-/// building of the table a number of comparisons that grows with the square of the routes.
+/// All routes of a configuration may have the same host, so scanning its prefixes would be too slow.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Table {
     hosts: HashMap<String, Host>,
@@ -18,14 +16,13 @@
 #[derive(Clone, Debug, Default)]
 struct Host {
     by_prefix: HashMap<String, Key<Route>>,
-    /// Lengths that prefixes have, each once, the largest first. They bound the work that a caller
-    /// can cause by a path of many slashes.
+    /// Distinct prefix lengths in descending order. Bounds the lookups for a path with many slashes.
     lengths: Vec<usize>,
 }
 
 impl Table {
-    /// Adds the route of `host` for paths that begin with `prefix`; returns the one that had this
-    /// place before.
+    /// Inserts the route of `host` for paths that start with `prefix`; returns the previous route
+    /// of the same host and prefix.
     pub(crate) fn insert(
         &mut self,
         host: &str,
@@ -36,20 +33,21 @@
             self.hosts.insert(host.to_owned(), Host::default());
         }
         let host = self.hosts.get_mut(host)?;
-        let order = host.lengths.binary_search_by(|length| prefix.len().cmp(length));
-        if let Err(place) = order {
-            host.lengths.insert(place, prefix.len());
+        let search = host.lengths.binary_search_by(|length| prefix.len().cmp(length));
+        if let Err(index) = search {
+            host.lengths.insert(index, prefix.len());
         }
         host.by_prefix.insert(prefix.to_owned(), route)
     }
 
-    /// Returns the route of `host` with the longest prefix that begins `path`.
+    /// Returns the route of `host` with the longest prefix of `path`.
     ///
-    /// Every prefix ends with a slash, so only the beginnings of `path` that do are looked up.
+    /// Every prefix ends with a slash, so only candidates that do are looked up.
     pub(crate) fn find(&self, host: &str, path: &str) -> Option<Key<Route>> {
         let host = self.hosts.get(host)?;
-        let ends = |length: &&usize| path.as_bytes().get(**length - 1) == Some(&b'/');
-        let mut beginnings = host.lengths.iter().filter(ends).map(|&length| &path[..length]);
-        beginnings.find_map(|beginning| host.by_prefix.get(beginning).copied())
+        let ends_with_slash = |length: &&usize| path.as_bytes().get(**length - 1) == Some(&b'/');
+        let mut candidates =
+            host.lengths.iter().filter(ends_with_slash).map(|&length| &path[..length]);
+        candidates.find_map(|candidate| host.by_prefix.get(candidate).copied())
     }
 }
--- a/crates/model/src/time.rs
+++ b/crates/model/src/time.rs
@@ -1,11 +1,11 @@
-//! A point in time of one process.
+//! Monotonic time of one process.
 //!
-//! Decisions never read a clock; they are given a [`Time`]. Tests therefore run on a virtual clock
-//! and give the same verdict every time.
+//! Code that decides takes a [`Time`] instead of reading a clock, so tests use a virtual clock and
+//! are deterministic.
 
 use std::{ops::Add, time::Duration};
 
-/// Time elapsed since an origin that only this process knows, such as its start.
+/// Time elapsed since a process-local origin, such as the start of the process.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Time(Duration);
 
@@ -20,7 +20,7 @@
         Time(elapsed)
     }
 
-    /// Returns the time passed since `earlier`, or zero where that lies ahead.
+    /// Returns the time elapsed since `earlier`, or zero if `earlier` is later.
     ///
     /// ```
     /// use model::time::Time;
@@ -31,7 +31,7 @@
         self.0.saturating_sub(earlier.0)
     }
 
-    /// Returns the whole milliseconds since the origin.
+    /// Returns the milliseconds since the origin, rounded down.
     pub fn millis(self) -> u64 {
         self.0.as_millis() as u64
     }
@@ -40,7 +40,7 @@
 impl Add<Duration> for Time {
     type Output = Time;
 
-    fn add(self, span: Duration) -> Time {
-        Time(self.0.saturating_add(span))
+    fn add(self, duration: Duration) -> Time {
+        Time(self.0.saturating_add(duration))
     }
 }
--- a/crates/model/tests/routes.rs
+++ b/crates/model/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Which route a call takes, compared with looking at every prefix in turn.
+//! Route lookup, compared with a linear scan over all prefixes.
 
 use model::{
     config::build,
@@ -7,24 +7,24 @@
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use std::collections::BTreeSet;
 
-/// Few hosts and segments, so that routes often share a beginning and calls often meet one.
+/// Few hosts and segments, so that routes often share prefixes and calls often match one.
 const HOSTS: [&str; 2] = ["shop.example", "h"];
-const SEGMENTS: [&str; 5] = ["a", "ab", "b", "", "%C3%A9"];
+const PREFIX_SEGMENTS: [&str; 5] = ["a", "ab", "b", "", "%C3%A9"];
 
-/// Segments of paths, besides those of prefixes: a caller may send any bytes.
-const CALLED: [&str; 7] = ["a", "ab", "b", "", "%C3%A9", "é", "abc"];
+/// Segments of called paths, including some that no prefix has.
+const CALL_SEGMENTS: [&str; 7] = ["a", "ab", "b", "", "%C3%A9", "é", "abc"];
 
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
-struct Place {
+struct Location {
     host: &'static str,
     prefix: String,
 }
 
-impl Arbitrary for Place {
+impl Arbitrary for Location {
     fn arbitrary(g: &mut Gen) -> Self {
         let prefix =
-            segments(g, &SEGMENTS).map(|segment| format!("{segment}/")).collect::<String>();
-        Place { host: pick(g, &HOSTS), prefix: format!("/{prefix}") }
+            segments(g, &PREFIX_SEGMENTS).map(|segment| format!("{segment}/")).collect::<String>();
+        Location { host: pick(g, &HOSTS), prefix: format!("/{prefix}") }
     }
 }
 
@@ -36,7 +36,7 @@
 
 impl Arbitrary for Call {
     fn arbitrary(g: &mut Gen) -> Self {
-        let path: Vec<&str> = segments(g, &CALLED).collect();
+        let path: Vec<&str> = segments(g, &CALL_SEGMENTS).collect();
         let start = pick(g, &["/", "/", "/", ""]);
         Call {
             host: pick(g, &[HOSTS[0], HOSTS[1], "none"]),
@@ -55,15 +55,17 @@
     segments.into_iter()
 }
 
-fn set(places: &[Place]) -> Set {
-    let text = |place: &Place| {
+fn set(locations: &[Location]) -> Set {
+    let text = |location: &Location| {
         format!(
             r#"{{"host": "{}", "prefix": "{}", "kind": "once", "targets": [{{"service": "s"}}]}}"#,
-            place.host, place.prefix
+            location.host, location.prefix
         )
     };
-    let routes =
-        places.iter().enumerate().map(|(i, place)| (format!("routes/r-{i:03}"), text(place)));
+    let routes = locations
+        .iter()
+        .enumerate()
+        .map(|(i, location)| (format!("routes/r-{i:03}"), text(location)));
     let others = [("profiles/p", "{}"), ("services/s", r#"{"profile": "p"}"#)];
     let others = others.map(|(key, text)| (key.to_owned(), text.to_owned()));
     let documents = others.into_iter().chain(routes);
@@ -72,41 +74,44 @@
     Set::default().with(Delta { revision: 1, full: true, documents, ..Delta::default() })
 }
 
-/// The longest prefix holds, whichever other prefixes share its beginning, and a part of a segment
-/// is no beginning.
+/// Prefixes match whole path segments only, also where several share their first segments.
 #[test]
-fn a_call_takes_the_route_with_the_longest_prefix_of_its_path() {
-    fn property(places: Vec<Place>, calls: Vec<Call>) -> bool {
-        let distinct: BTreeSet<Place> = places.into_iter().collect();
-        let places: Vec<Place> = distinct.into_iter().collect();
-        let snapshot = build(&set(&places)).expect("no two routes are for the same calls");
+fn call_takes_route_with_longest_matching_prefix() {
+    fn property(locations: Vec<Location>, calls: Vec<Call>) -> bool {
+        let distinct: BTreeSet<Location> = locations.into_iter().collect();
+        let locations: Vec<Location> = distinct.into_iter().collect();
+        let snapshot = build(&set(&locations)).expect("no two routes are for the same calls");
         calls.iter().all(|call| {
-            let begins = |p: &&Place| p.host == call.host && call.path.starts_with(&p.prefix);
-            let expect = places.iter().filter(begins).max_by_key(|place| place.prefix.len());
+            let matches = |p: &&Location| p.host == call.host && call.path.starts_with(&p.prefix);
+            let expect =
+                locations.iter().filter(matches).max_by_key(|location| location.prefix.len());
             let found = snapshot.route(call.host, &call.path);
-            found.map(|route| &route.spec.prefix) == expect.map(|place| &place.prefix)
+            found.map(|route| &route.spec.prefix) == expect.map(|location| &location.prefix)
                 && found.is_none_or(|route| route.spec.host == call.host)
         })
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(40, 5))
         .tests(2_000)
-        .quickcheck(property as fn(Vec<Place>, Vec<Call>) -> bool);
+        .quickcheck(property as fn(Vec<Location>, Vec<Call>) -> bool);
 }
 
-/// Each route but the first for the same calls is a fault, in the order of their names.
+/// Of routes with equal host and prefix, all but the first by name are faults, in name order.
 #[test]
-fn every_second_route_for_the_same_calls_is_a_fault() {
-    fn property(places: Vec<Place>) -> bool {
-        let second = |&i: &usize| places[..i].contains(&places[i]);
-        let expect: Vec<String> =
-            (0..places.len()).filter(second).map(|i| format!("routes/r-{i:03}")).take(32).collect();
-        let faults = build(&set(&places)).err().unwrap_or_default();
+fn duplicate_routes_are_rejected() {
+    fn property(locations: Vec<Location>) -> bool {
+        let duplicate = |&i: &usize| locations[..i].contains(&locations[i]);
+        let expect: Vec<String> = (0..locations.len())
+            .filter(duplicate)
+            .map(|i| format!("routes/r-{i:03}"))
+            .take(32)
+            .collect();
+        let faults = build(&set(&locations)).err().unwrap_or_default();
         let found: Vec<String> = faults.iter().map(|fault| fault.document.clone()).collect();
         found == expect && faults.iter().all(|fault| fault.pointer == "/prefix")
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(40, 6))
         .tests(2_000)
-        .quickcheck(property as fn(Vec<Place>) -> bool);
+        .quickcheck(property as fn(Vec<Location>) -> bool);
 }
--- a/crates/model/tests/validation.rs
+++ b/crates/model/tests/validation.rs
@@ -1,4 +1,4 @@
-//! What documents are accepted, and how faults are told.
+//! Which documents are accepted, and which faults are reported.
 
 use model::{
     config::build,
@@ -14,17 +14,17 @@
     Set::default().with(Delta { revision: 1, full: true, documents, ..Delta::default() })
 }
 
-/// Compares the faults, each as "document pointer", in order.
+/// Asserts that the faults, each as "document pointer", equal `expect` in order.
 #[track_caller]
 fn check(documents: &[(&str, &str)], expect: &[&str]) {
     let faults = build(&set(documents)).err().unwrap_or_default();
-    let places: Vec<String> =
+    let locations: Vec<String> =
         faults.iter().map(|f| format!("{} {}", f.document, f.pointer)).collect();
-    assert_eq!(places, expect, "{faults:?}");
+    assert_eq!(locations, expect, "{faults:?}");
 }
 
 #[test]
-fn good_documents() {
+fn valid_documents_are_accepted() {
     check(&[], &[]);
     check(&[("profiles/a", "{}"), ("services/s", r#"{"profile": "a"}"#)], &[]);
     check(
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn every_fault_is_told_with_its_place() {
+fn every_fault_is_reported_with_its_location() {
     check(
         &[("profiles/a", r#"{"deadline_ms": "soon", "attempts": 9, "spill": 1, "more": 1}"#)],
         &[
@@ -58,9 +58,9 @@
     );
 }
 
-/// A route that points at nothing answers each call with an error; none may come into force.
+/// Guards against a service without a profile, whose calls would all fail.
 #[test]
-fn references_must_lead_somewhere() {
+fn service_with_missing_profile_is_rejected() {
     cov_mark::check!(dangling_profile);
     check(&[("services/s", r#"{"profile": "a"}"#)], &["services/s /profile"]);
     check(&[("services/s", "{}")], &["services/s /profile"]);
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn hostile_documents_are_faults() {
+fn malformed_documents_are_rejected() {
     let deep = format!("{}1{}", "[".repeat(50_000), "]".repeat(50_000));
     check(&[("profiles/a", &deep)], &["profiles/a "]);
     check(&[("profiles/a", r#"{"attempts": 1e999}"#)], &["profiles/a "]);
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn sizes_are_bounded() {
+fn oversized_documents_and_sets_are_rejected() {
     let large = format!("{{}}{}", " ".repeat(1 << 20));
     check(&[("profiles/a", &large)], &["profiles/a "]);
     let half = format!("{{}}{}", " ".repeat(900_000));
@@ -94,13 +94,11 @@
     check(&many, &[" "]);
 }
 
-/// Callers of new routes are told 404 on every node, and nothing published afterwards comes into
-/// force. The platform had accepted a configuration of its largest size; each node refused it, since
-/// it held more documents than a node takes, and kept the version of before. Seen as nodes that start
-/// long after the change and still serve the version before it.
+/// Guards against a limit on documents below the platform's: nodes would reject a configuration that
+/// the platform accepted, and keep serving the previous version.
 #[test]
-fn a_configuration_of_the_largest_size_is_accepted() {
-    // The platform's largest value, 1 MiB, holds about 12,000 routes if they name only what they must.
+fn configuration_of_maximum_size_is_accepted() {
+    // About as many minimal routes as fit into the platform's maximum value size of 1 MiB.
     let routes = (0..12_000).map(|i| {
         let text = format!(
             r#"{{"host": "shop.example", "prefix": "/p{i}/", "kind": "idempotent", "attempts": 2,
@@ -119,13 +117,13 @@
     check(&documents, &[]);
 }
 
-/// Any bytes at all lead to a verdict and not to a panic.
+/// Arbitrary text is accepted or rejected with faults, without a panic.
 #[test]
-fn no_text_stops_the_process() {
+fn arbitrary_text_does_not_panic() {
     fn property(text: String, key: String) -> bool {
         let key = format!("profiles/{key}");
-        let verdict = build(&set(&[(&key, &text)]));
-        verdict.is_ok() || verdict.is_err_and(|faults| !faults.is_empty())
+        let result = build(&set(&[(&key, &text)]));
+        result.is_ok() || result.is_err_and(|faults| !faults.is_empty())
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(200, 3))
@@ -133,9 +131,9 @@
         .quickcheck(property as fn(String, String) -> bool);
 }
 
-/// A delta from any older set leads to exactly the newer one, removals included.
+/// Applying a delta to any older set gives exactly the newer set, including removals.
 #[test]
-fn deltas_lead_to_the_whole() {
+fn deltas_from_any_revision_give_the_newest_set() {
     fn property(first: Vec<u8>, second: Vec<u8>, third: Vec<u8>) -> bool {
         let step = |set: &Set, revision: u64, changes: &[u8]| {
             let mut delta = Delta { revision, ..Delta::default() };
@@ -166,11 +164,10 @@
         .quickcheck(property as fn(Vec<u8>, Vec<u8>, Vec<u8>) -> bool);
 }
 
-/// Nodes on slow links stay eight seconds behind: the node that they ask has restarted and read
-/// everything anew, so it takes every document for modified and answers with hundreds of kilobytes,
-/// which do not arrive in time, again and again.
+/// Guards against sending all documents after a restart: the restarted node has read every document
+/// again, so by revision all look modified.
 #[test]
-fn what_differs_is_told_by_content_whoever_read_it_when() {
+fn bucket_delta_holds_only_changed_content_after_a_restart() {
     let documents = |revision: u64, changed: usize| -> Vec<Document> {
         let text = |i: usize| format!("{{\"deadline_ms\": {}}}", if i == changed { 7 } else { 8 });
         (0..500)
@@ -201,7 +198,7 @@
 }
 
 #[test]
-fn routes_lead_to_services_that_exist_and_no_two_to_the_same_calls() {
+fn invalid_routes_and_limits_are_rejected() {
     let services = [("profiles/a", "{}"), ("services/s", r#"{"profile": "a"}"#)];
     let route = |prefix: &str, more: &str| {
         format!(
