--- a/crates/model/src/config.rs
+++ b/crates/model/src/config.rs
@@ -147,7 +147,7 @@
         faults.push(Fault::new(
             &document.key,
             "",
-            "the key is none of profiles/NAME, services/NAME, routes/NAME and limits",
+            "unknown key: must be profiles/NAME, services/NAME, routes/NAME or limits",
         ));
     }
     if faults.is_empty() {
@@ -283,7 +283,7 @@
         faults.push(Fault::new(
             &document.key,
             "",
-            "the key's name must be 1 to 63 of a-z, 0-9 and -",
+            "the name in the key must be 1 to 63 of a-z, 0-9 and -",
         ));
     }
 }
--- a/crates/model/src/document.rs
+++ b/crates/model/src/document.rs
@@ -214,8 +214,8 @@
 
     /// Returns the digest of each bucket, a hash of the keys and texts in it.
     ///
-    /// Unlike `modified`, which is local to each holder and reset when it reads all documents again,
-    /// the digests compare equal wherever the content is the same.
+    /// Unlike `modified`, which is local to each holder and reset when it reads all documents
+    /// again, the digests compare equal wherever the content is the same.
     pub fn buckets(&self) -> &[u64] {
         self.buckets.get_or_init(|| {
             let mut buckets = vec![0; BUCKETS];
@@ -277,8 +277,8 @@
         Chunk { delta: Delta { revision: self.revision, ..Delta::default() }, more: true }
     }
 
-    /// Collects the tombstones that `next` keeps: the known ones, those of documents that `next` lacks,
-    /// and those received.
+    /// Collects the tombstones that `next` keeps: the known ones, those of documents that `next`
+    /// lacks, and those received.
     fn merge_removals(&self, next: &Set, received: Vec<Removal>) -> Vec<Removal> {
         let mut removed = self.removed.clone();
         let missing = self.documents.keys().filter(|key| !next.documents.contains_key(*key));
--- a/crates/model/src/json.rs
+++ b/crates/model/src/json.rs
@@ -1,7 +1,7 @@
 //! JSON parsing that rejects duplicate keys.
 //!
-//! `serde_json::Value` silently keeps the last of two equal keys. `serde_json` itself limits nesting
-//! to 128 levels, so a malicious document can't exhaust the stack.
+//! `serde_json::Value` silently keeps the last of two equal keys. `serde_json` itself limits
+//! nesting to 128 levels, so a malicious document can't exhaust the stack.
 
 use serde::de::{DeserializeSeed, Deserializer, Error, MapAccess, SeqAccess, Visitor};
 use serde_json::{Map, Number, Value};
@@ -24,7 +24,7 @@
     let seed = ValueSeed { location: Location::Root, duplicate: &mut duplicate };
     let parsed = seed.deserialize(&mut input).and_then(|value| input.end().map(|()| value));
     if let Some(pointer) = duplicate {
-        return Err(Fault::new(document, pointer, "the key is given twice"));
+        return Err(Fault::new(document, pointer, "duplicate key"));
     }
     parsed.map_err(|e| Fault::new(document, "", format!("not valid JSON: {e}")))
 }
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,7 +1,7 @@
 //! Configuration documents, their validation, and the snapshots built from them.
 //!
-//! The node and `baobabctl check` share this crate, so both validate documents alike. It performs no
-//! I/O and reads no clock. Its types are used by every other crate.
+//! The node and `baobabctl check` share this crate, so both validate documents alike. It performs
+//! no I/O and reads no clock. Its types are used by every other crate.
 
 pub mod arena;
 pub mod config;
--- a/crates/model/src/table.rs
+++ b/crates/model/src/table.rs
@@ -6,7 +6,8 @@
 
 /// Route table whose lookup cost depends on the number of distinct prefix lengths, not of routes.
 ///
-/// All routes of a configuration may have the same host, so scanning its prefixes would be too slow.
+/// All routes of a configuration may have the same host, so scanning its prefixes would be too
+/// slow.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Table {
     hosts: HashMap<String, Host>,
@@ -16,7 +17,8 @@
 #[derive(Clone, Debug, Default)]
 struct Host {
     by_prefix: HashMap<String, Key<Route>>,
-    /// Distinct prefix lengths in descending order. Bounds the lookups for a path with many slashes.
+    /// Distinct prefix lengths in descending order. Bounds the lookups for a path with many
+    /// slashes.
     lengths: Vec<usize>,
 }
 
--- a/crates/model/tests/validation.rs
+++ b/crates/model/tests/validation.rs
@@ -94,8 +94,8 @@
     check(&many, &[" "]);
 }
 
-/// Guards against a limit on documents below the platform's: nodes would reject a configuration that
-/// the platform accepted, and keep serving the previous version.
+/// Guards against a limit on documents below the platform's: nodes would reject a configuration
+/// that the platform accepted, and keep serving the previous version.
 #[test]
 fn configuration_of_maximum_size_is_accepted() {
     // About as many minimal routes as fit into the platform's maximum value size of 1 MiB.
--- a/crates/peer/src/compressed.rs
+++ b/crates/peer/src/compressed.rs
@@ -1,8 +1,7 @@
-//! Large answers, compressed.
+//! Compression of large messages: JSON, deflated and encoded as base64.
 //!
-//! Pattern: half of the fleet restarts at once, or many routes are added. Each node needs half a
-//! megabyte for 2,000 routes; a link of 5 Mbit/s takes 0.8 s for it, and callers are turned away
-//! meanwhile. Compressed it is a fraction of that.
+//! Shortens the transfer of a whole configuration over slow links, during which a restarted node
+//! rejects calls.
 
 use base64::{Engine, engine::general_purpose::STANDARD};
 use flate2::{Compression, read::DeflateDecoder, write::DeflateEncoder};
@@ -16,68 +15,68 @@
     sync::{Arc, Mutex, PoisonError},
 };
 
-/// Level of compression: the fastest one, since cores are as slow as links.
-const LEVEL: u32 = 1;
+/// Compression level; the fastest, since nodes may have slow cores.
+const COMPRESSION_LEVEL: u32 = 1;
 
-/// A message as compressed JSON.
+/// A compressed message.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Message {
-    /// Deflated JSON as base64 text: a JSON-RPC answer carries no plain bytes.
+    /// Deflated JSON, encoded as base64 for JSON-RPC.
     deflated: Arc<str>,
 }
 
-/// What was received is no packed message.
+/// Failure to decompress a message.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The text is not base64.
+    /// The text is not valid base64.
     #[snafu(display("no base64: {source}"))]
     Text {
-        /// Where it goes wrong.
+        /// Error of the decoder.
         source: base64::DecodeError,
     },
-    /// The bytes do not inflate.
+    /// The decoded bytes are not a valid deflate stream.
     #[snafu(display("cannot be inflated: {source}"))]
     Deflated {
-        /// What the library says.
+        /// Error of the decoder.
         source: std::io::Error,
     },
-    /// Inflated it is larger than a message may be.
+    /// The decompressed JSON exceeds the limit.
     #[snafu(display("more than {limit} bytes"))]
     Large {
-        /// The bound.
+        /// Limit, in bytes.
         limit: u64,
     },
-    /// It is not the expected message.
+    /// The JSON is not the expected message.
     #[snafu(display("not the expected message: {source}"))]
     Content {
-        /// Where it goes wrong.
+        /// Error of the decoder.
         source: serde_json::Error,
     },
 }
 
-/// Packs a message.
+/// Compresses a message.
 ///
 /// ```
 /// use peer::compressed::{compress, decompress};
 /// let text = "the same words again and again; ".repeat(100);
-/// let packed = compress(&text).expect("text is JSON");
-/// assert!(packed.len() < text.len() / 10);
-/// assert_eq!(decompress::<String>(&packed, 10_000).expect("it was just packed"), text);
+/// let compressed = compress(&text).expect("text is JSON");
+/// assert!(compressed.len() < text.len() / 10);
+/// assert_eq!(decompress::<String>(&compressed, 10_000).expect("valid message"), text);
 /// ```
 pub fn compress<T: Serialize>(message: &T) -> Result<Message, serde_json::Error> {
-    let mut encoder = DeflateEncoder::new(Vec::new(), Compression::new(LEVEL));
+    let mut encoder = DeflateEncoder::new(Vec::new(), Compression::new(COMPRESSION_LEVEL));
     let json = serde_json::to_vec(message)?;
     let written = encoder.write_all(&json).and_then(|()| encoder.finish());
     let bytes = written.map_err(serde_json::Error::io)?;
     Ok(Message { deflated: STANDARD.encode(bytes).into() })
 }
 
-/// Unpacks a message of at most `limit` bytes of JSON.
+/// Decompresses a message of at most `limit` bytes of JSON.
 pub fn decompress<T: DeserializeOwned>(message: &Message, limit: u64) -> Result<T, Error> {
     let bytes = STANDARD.decode(message.deflated.as_bytes()).context(TextSnafu)?;
     let mut json = Vec::new();
     let read = DeflateDecoder::new(bytes.as_slice()).take(limit + 1).read_to_end(&mut json);
-    // A small message may inflate to any size; the bound keeps it from filling the memory.
+    // Limits memory, since a small message can inflate to any size.
     if read.context(DeflatedSnafu)? as u64 > limit {
         return LargeSnafu { limit }.fail();
     }
@@ -85,59 +84,58 @@
 }
 
 impl Message {
-    /// Returns its size on the wire, in bytes.
+    /// Returns the size on the wire, in bytes.
     pub fn len(&self) -> usize {
         self.deflated.len()
     }
 
-    /// Tells whether it is empty.
+    /// Returns whether the message is empty.
     pub fn is_empty(&self) -> bool {
         self.deflated.is_empty()
     }
 }
 
-/// Bundles that were packed last: after a herd restart or a change many nodes ask one for the same,
-/// and packing takes some ten milliseconds on a slow core.
+/// Cache of compressed bundles; after a restart or a change, many nodes pull the same ones.
 #[derive(Debug, Default)]
 pub(crate) struct Cache {
-    last: Mutex<VecDeque<(Content, Message)>>,
+    entries: Mutex<VecDeque<(Key, Message)>>,
 }
 
-/// Most bundles that are kept, some 30 KB each: the pieces of the largest configuration.
-const KEPT: usize = 32;
+/// Maximum number of cached bundles; holds all chunks of the largest configuration.
+const MAX_CACHED: usize = 32;
 
-/// What a bundle holds, as far as that follows from its version.
+/// Cache key of a bundle whose content follows from its version and extent.
 #[derive(Debug, PartialEq)]
-struct Content {
+struct Key {
     version: Version,
     full: bool,
     buckets: Vec<usize>,
     more: bool,
 }
 
-impl Content {
-    /// Returns what `bundle` holds; none if that depends on who asked.
+impl Key {
+    /// Returns the key of `bundle`; `None` if its content depends on the receiver's revision.
     fn of(bundle: &Bundle) -> Option<Self> {
         let Bundle { version, delta: Delta { full, buckets, .. }, more } = bundle;
-        let is_known = *full || !buckets.is_empty();
+        let is_cacheable = *full || !buckets.is_empty();
         let buckets = buckets.clone();
-        is_known.then_some(Content { version: *version, full: *full, buckets, more: *more })
+        is_cacheable.then_some(Key { version: *version, full: *full, buckets, more: *more })
     }
 }
 
 impl Cache {
-    /// Packs `bundle`, or returns what it was packed to before.
+    /// Returns the compressed `bundle`, from the cache if present.
     pub(crate) fn compress(&self, bundle: &Bundle) -> Result<Message, serde_json::Error> {
-        let Some(content) = Content::of(bundle) else { return compress(bundle) };
-        let mut last = self.last.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some((_, message)) = last.iter().find(|(kept, _)| *kept == content) {
+        let Some(key) = Key::of(bundle) else { return compress(bundle) };
+        let mut entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
+        if let Some((_, message)) = entries.iter().find(|(cached, _)| *cached == key) {
             return Ok(message.clone());
         }
         let message = compress(bundle)?;
-        if last.len() == KEPT {
-            last.pop_front();
+        if entries.len() == MAX_CACHED {
+            entries.pop_front();
         }
-        last.push_back((content, message.clone()));
+        entries.push_back((key, message.clone()));
         Ok(message)
     }
 }
--- a/crates/peer/src/datagram.rs
+++ b/crates/peer/src/datagram.rs
@@ -1,8 +1,7 @@
-//! Summaries between nodes as UDP datagrams.
+//! Gossip digests between nodes as UDP datagrams.
 //!
-//! Every node tells every other one a few times a second how far it holds configuration and list.
-//! A datagram costs each side one system call and no connection; one that is lost is made good by
-//! the next.
+//! Every node sends every other node its revisions of configuration and instance list a few times
+//! per second. Delivery is best effort: each digest supersedes the previous one.
 
 use fleet::message::{Digest, News};
 use snafu::{ResultExt, Snafu};
@@ -11,76 +10,76 @@
     net::{SocketAddr, UdpSocket},
 };
 
-/// Largest summary, in bytes: one packet on any link.
-const SIZE_LIMIT: usize = 1_200;
+/// Maximum size of a digest, in bytes; fits into one packet on any link.
+const MAX_DIGEST_BYTES: usize = 1_200;
 
-/// Failure to exchange summaries.
+/// Failure to send or receive digests.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The address could not be listened on.
-    #[snafu(display("cannot exchange datagrams at {address}: {source}"))]
+    /// The socket could not be bound.
+    #[snafu(display("cannot bind UDP socket at {address}: {source}"))]
     Bind {
         /// The address.
         address: SocketAddr,
-        /// What the system says.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The socket failed; the next datagram may do better.
+    /// Receiving failed; the caller may try again.
     #[snafu(display("cannot receive a datagram: {source}"))]
     Receive {
-        /// What the system says.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// What arrived is no summary.
-    #[snafu(display("{from} sent no summary: {source}"))]
+    /// The datagram is not a valid digest.
+    #[snafu(display("malformed digest from {from}: {source}"))]
     Malformed {
-        /// Who sent it.
+        /// Address of the sender.
         from: SocketAddr,
-        /// What is wrong with it.
+        /// Error of the parser.
         source: serde_json::Error,
     },
 }
 
-/// A socket for summaries.
+/// A UDP socket for digests.
 #[derive(Debug)]
 pub struct Socket {
     socket: UdpSocket,
 }
 
 impl Socket {
-    /// Opens a socket at `address`.
+    /// Binds a socket to `address`.
     pub fn bind(address: SocketAddr) -> Result<Self, Error> {
         let socket = UdpSocket::bind(address).context(BindSnafu { address })?;
         Ok(Socket { socket })
     }
 
-    /// Sends a summary to each of `targets`; returns how many could not be sent.
+    /// Sends a digest to each of `targets`; returns how many sends failed.
     ///
-    /// One that could not be sent is as good as lost on the way: the next one follows soon.
+    /// A failed send needs no retry, since the next digest follows soon.
     pub fn send(&self, targets: &[SocketAddr], digest: &Digest) -> usize {
         let Ok(text) = encode(digest) else { return targets.len() };
         targets.iter().filter(|target| self.socket.send_to(&text, target).is_err()).count()
     }
 
-    /// Waits for the next summary.
+    /// Blocks until the next digest is received.
     pub fn receive(&self) -> Result<Digest, Error> {
-        let mut buffer = [0; SIZE_LIMIT];
+        let mut buffer = [0; MAX_DIGEST_BYTES];
         let (size, from) = self.socket.recv_from(&mut buffer).context(ReceiveSnafu)?;
         serde_json::from_slice(&buffer[..size]).context(MalformedSnafu { from })
     }
 }
 
-/// Encodes a summary in one packet: news that do not fit stay out, and whoever lacks them asks. Reports that do
-/// not fit beside the rest are told in later summaries.
+/// Encodes a digest in one packet. If it does not fit, drops the piggybacked changes, which
+/// receivers then pull, and as many reports as necessary, which later digests carry.
 fn encode(digest: &Digest) -> Result<Vec<u8>, serde_json::Error> {
     let text = serde_json::to_vec(digest)?;
-    if text.len() <= SIZE_LIMIT {
+    if text.len() <= MAX_DIGEST_BYTES {
         return Ok(text);
     }
-    let mut fitting = Digest { news: News::default(), ..digest.clone() };
+    let mut reduced = Digest { news: News::default(), ..digest.clone() };
     loop {
-        let text = serde_json::to_vec(&fitting)?;
-        if text.len() <= SIZE_LIMIT || fitting.reports.pop().is_none() {
+        let text = serde_json::to_vec(&reduced)?;
+        if text.len() <= MAX_DIGEST_BYTES || reduced.reports.pop().is_none() {
             return Ok(text);
         }
     }
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,8 +1,7 @@
-//! Messages between nodes over JSON-RPC.
+//! JSON-RPC transport between nodes.
 //!
-//! This crate exists so that no other one knows how messages travel. It turns the messages of
-//! [`fleet::message`] into calls and back; it decides nothing. It is an API border: nodes of two
-//! product versions talk to each other through it.
+//! Maps the messages of [`fleet::message`] to JSON-RPC calls and back. The protocol must stay
+//! compatible between product versions, since nodes of different versions run together.
 
 pub mod compressed;
 pub mod datagram;
@@ -26,24 +25,24 @@
 use snafu::{ResultExt, Snafu};
 use std::{future::Future, net::SocketAddr, pin::Pin, sync::Arc, time::Duration};
 
-/// Largest message, in bytes: a whole configuration with every character escaped.
-const MESSAGE_LIMIT: u32 = 12 << 20;
+/// Maximum size of a message, in bytes; holds a whole configuration with every character escaped.
+const MAX_MESSAGE_BYTES: u32 = 12 << 20;
 
-/// Most connections that a node accepts from others; a node that is refused asks another.
-const CONNECTION_LIMIT: u32 = 128;
+/// Maximum number of inbound connections; a node that is refused tries another peer.
+const MAX_CONNECTIONS: u32 = 128;
 
-/// Method that answers a pull with a packed bundle.
+/// Name of the method that answers a pull with a compressed bundle.
 const PULL_COMPRESSED: &str = "pull-packed";
 
-/// JSON-RPC error code of a node that does not answer because it stops.
-const STOPPING: i32 = -32_001;
+/// JSON-RPC error code of a node that is shutting down.
+const STOPPING_CODE: i32 = -32_001;
 
-/// The future of an answer.
+/// Future of a reply; `None` if the node is shutting down.
 pub type Reply<T> = Pin<Box<dyn Future<Output = Option<T>> + Send>>;
 
-/// What a node answers to others; an empty reply means that it stops.
+/// Handles the requests of other nodes.
 pub trait Handler: Send + std::marker::Sync + 'static {
-    /// Answers a message.
+    /// Handles a request of a peer.
     fn handle(&self, request: Request) -> Reply<Response>;
     /// Returns the node's state.
     fn status(&self) -> Reply<status::Node>;
@@ -54,49 +53,49 @@
 /// Failure of a call to another node.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// No whole answer in time.
-    #[snafu(display("no answer: {source}"))]
+    /// No complete response within the timeout.
+    #[snafu(display("no response: {source}"))]
     NoResponse {
-        /// What the library says.
+        /// Error of the JSON-RPC client.
         source: Box<ClientError>,
     },
-    /// An answer that is none to the question.
-    #[snafu(display("a malformed answer: {source}"))]
+    /// The response does not match the request or cannot be parsed.
+    #[snafu(display("malformed response: {source}"))]
     Malformed {
-        /// What the library says.
+        /// Error of the JSON-RPC client.
         source: Box<ClientError>,
     },
-    /// A packed answer that cannot be unpacked.
-    #[snafu(display("a malformed answer: {source}"))]
+    /// A compressed response that cannot be decompressed.
+    #[snafu(display("malformed response: {source}"))]
     Decompress {
-        /// What is wrong with it.
+        /// Error of the decompression.
         source: compressed::Error,
     },
-    /// The address could not be listened on.
+    /// The server could not listen on its address.
     #[snafu(display("cannot listen: {source}"))]
     Listen {
-        /// What the system says.
+        /// Error of the operating system.
         source: std::io::Error,
     },
 }
 
-/// Serves `handler` at `address` until the handle is dropped or stopped.
+/// Serves `handler` at `address` until the handle is dropped or stopped; returns the bound address.
 pub async fn serve(
     address: SocketAddr,
     handler: Arc<dyn Handler>,
 ) -> Result<(SocketAddr, ServerHandle), Error> {
     let config = ServerConfig::builder()
-        .max_request_body_size(MESSAGE_LIMIT)
-        .max_response_body_size(MESSAGE_LIMIT)
-        .max_connections(CONNECTION_LIMIT)
+        .max_request_body_size(MAX_MESSAGE_BYTES)
+        .max_response_body_size(MAX_MESSAGE_BYTES)
+        .max_connections(MAX_CONNECTIONS)
         .http_only()
         .build();
     let server = ServerBuilder::with_config(config).build(address).await.context(ListenSnafu)?;
     let address = server.local_addr().context(ListenSnafu)?;
-    Ok((address, server.start(module(handler))))
+    Ok((address, server.start(rpc_module(handler))))
 }
 
-/// Sends `request` to the node at `peer`.
+/// Sends `request` to the node at `peer` and waits for the response.
 pub async fn send(
     peer: SocketAddr,
     request: &Request,
@@ -110,7 +109,8 @@
     }
 }
 
-/// Pulls the configuration, packed if the other node's version of the product can pack it.
+/// Pulls the configuration, uncompressed if the peer's product version does not support
+/// compression.
 async fn pull_compressed(
     peer: SocketAddr,
     pull: &Pull,
@@ -118,7 +118,7 @@
 ) -> Result<Bundle, Error> {
     match call::<_, compressed::Message>(peer, PULL_COMPRESSED, pull, timeout).await {
         Ok(message) => {
-            compressed::decompress(&message, MESSAGE_LIMIT.into()).context(DecompressSnafu)
+            compressed::decompress(&message, MAX_MESSAGE_BYTES.into()).context(DecompressSnafu)
         }
         Err(Error::NoResponse { source }) if is_unknown_method(&source) => {
             call(peer, "pull", pull, timeout).await
@@ -131,12 +131,12 @@
     matches!(error, ClientError::Call(object) if object.code() == METHOD_NOT_FOUND_CODE)
 }
 
-/// Asks the node at `peer` for its state.
+/// Requests the state of the node at `peer`.
 pub async fn status(peer: SocketAddr, timeout: Duration) -> Result<status::Node, Error> {
     call(peer, "status", &(), timeout).await
 }
 
-/// Asks the node at `peer` for its events after `stamp`.
+/// Requests the events after `stamp` from the node at `peer`.
 pub async fn events(
     peer: SocketAddr,
     stamp: Stamp,
@@ -145,10 +145,10 @@
     call(peer, "events", &stamp, timeout).await
 }
 
-/// Makes one call on a connection of its own.
+/// Makes one call on a new connection.
 ///
-/// A node speaks to any one of hundreds of others once in minutes. Connections kept in between
-/// would cost memory on both sides and go silent unnoticed; see docs/LIBRARIES.md for the figures.
+/// Calls to any one peer are minutes apart, so pooled connections would cost memory on both sides
+/// and could break unnoticed.
 async fn call<P: Serialize, T: DeserializeOwned>(
     peer: SocketAddr,
     method: &str,
@@ -157,8 +157,8 @@
 ) -> Result<T, Error> {
     let client = HttpClientBuilder::default()
         .request_timeout(timeout)
-        .max_request_size(MESSAGE_LIMIT)
-        .max_response_size(MESSAGE_LIMIT)
+        .max_request_size(MAX_MESSAGE_BYTES)
+        .max_response_size(MAX_MESSAGE_BYTES)
         .build(format!("http://{peer}"))
         .map_err(|e| Error::NoResponse { source: Box::new(e) })?;
     let mut parameters = ArrayParams::new();
@@ -176,16 +176,16 @@
     })
 }
 
-fn module(handler: Arc<dyn Handler>) -> RpcModule<Arc<dyn Handler>> {
+fn rpc_module(handler: Arc<dyn Handler>) -> RpcModule<Arc<dyn Handler>> {
     let mut module = RpcModule::new(handler);
     register::<Beat, Beat>(&mut module, "beat", |handler, beat| {
-        map(handler.handle(Request::Beat(beat)), |response| match response {
+        map_reply(handler.handle(Request::Beat(beat)), |response| match response {
             Response::Beat(beat) => Some(beat),
             _ => None,
         })
     });
     register::<Pull, Bundle>(&mut module, "pull", |handler, pull| {
-        map(handler.handle(Request::Pull(pull)), |response| match response {
+        map_reply(handler.handle(Request::Pull(pull)), |response| match response {
             Response::Pull(bundle) => Some(bundle),
             _ => None,
         })
@@ -193,20 +193,20 @@
     let cache = Arc::new(compressed::Cache::default());
     register::<Pull, compressed::Message>(&mut module, PULL_COMPRESSED, move |handler, pull| {
         let cache = cache.clone();
-        map(handler.handle(Request::Pull(pull)), move |response| match response {
-            // A bundle is plain data, which always has a JSON form.
+        map_reply(handler.handle(Request::Pull(pull)), move |response| match response {
+            // Serializing a bundle to JSON cannot fail.
             Response::Pull(bundle) => cache.compress(&bundle).ok(),
             _ => None,
         })
     });
     register::<Sync, Sync>(&mut module, "sync", |handler, sync| {
-        map(handler.handle(Request::Sync(sync)), |response| match response {
+        map_reply(handler.handle(Request::Sync(sync)), |response| match response {
             Response::Sync(sync) => Some(sync),
             _ => None,
         })
     });
     register::<Fetch, Update>(&mut module, "fetch", |handler, fetch| {
-        map(handler.handle(Request::Fetch(fetch)), |response| match response {
+        map_reply(handler.handle(Request::Fetch(fetch)), |response| match response {
             Response::Fetch(update) => Some(update),
             _ => None,
         })
@@ -218,8 +218,7 @@
     module
 }
 
-/// Registers one method: parameters that do not parse are an error to the sender, and the node
-/// goes on.
+/// Registers one method. Invalid parameters are answered with an error.
 fn register<P: DeserializeOwned + Send, T: Serialize + Clone + Send + 'static>(
     module: &mut RpcModule<Arc<dyn Handler>>,
     name: &'static str,
@@ -230,13 +229,14 @@
         async move {
             let parameter: P = parameters.one()?;
             let reply = method(handler.as_ref().as_ref(), parameter).await;
-            reply.ok_or_else(|| ErrorObjectOwned::owned(STOPPING, "the node stops", None::<()>))
+            reply
+                .ok_or_else(|| ErrorObjectOwned::owned(STOPPING_CODE, "the node stops", None::<()>))
         }
     });
     registered.expect("each method is registered once");
 }
 
-fn map<A: 'static, B: 'static>(
+fn map_reply<A: 'static, B: 'static>(
     reply: Reply<A>,
     pick: impl FnOnce(A) -> Option<B> + Send + 'static,
 ) -> Reply<B> {
--- a/crates/peer/tests/compressed.rs
+++ b/crates/peer/tests/compressed.rs
@@ -1,4 +1,4 @@
-//! Packed messages: what fits, and what is no such message.
+//! Compression of messages, and rejection of malformed ones.
 
 use fleet::message::Bundle;
 use model::{
@@ -7,7 +7,7 @@
 };
 use peer::compressed::{Message, compress, decompress};
 
-const LIMIT: u64 = 12 << 20;
+const LIMIT_BYTES: u64 = 12 << 20;
 
 /// A configuration of 2,000 routes.
 fn bundle() -> Bundle {
@@ -28,32 +28,32 @@
 }
 
 #[test]
-fn a_configuration_takes_a_fraction_of_its_size() {
+fn configuration_compresses_below_a_quarter_and_round_trips() {
     let bundle = bundle();
     let plain = serde_json::to_vec(&bundle).expect("a bundle is JSON").len();
-    let packed = compress(&bundle).expect("a bundle is JSON");
-    assert!(packed.len() * 4 < plain, "{} of {plain}", packed.len());
-    assert_eq!(decompress::<Bundle>(&packed, LIMIT).expect("it was just packed"), bundle);
+    let compressed = compress(&bundle).expect("a bundle is JSON");
+    assert!(compressed.len() * 4 < plain, "{} of {plain}", compressed.len());
+    assert_eq!(decompress::<Bundle>(&compressed, LIMIT_BYTES).expect("valid message"), bundle);
 }
 
 #[track_caller]
 fn check(deflated: &str, expect: &str) {
     let message: Message =
         serde_json::from_value(serde_json::json!({ "deflated": deflated })).expect("a message");
-    let error = decompress::<Bundle>(&message, 1_000).expect_err("it is none").to_string();
+    let error = decompress::<Bundle>(&message, 1_000).expect_err("malformed message").to_string();
     assert!(error.starts_with(expect), "{error}");
 }
 
 #[test]
-fn what_is_no_packed_message_is_told_as_such() {
+fn malformed_messages_are_rejected() {
     check("?", "no base64");
     check("AAAA", "cannot be inflated");
     check(&text_of(&compress(&"text").expect("text is JSON")), "not the expected message");
 }
 
-/// A node is killed for want of memory: a few bytes from a faulty neighbour inflate to gigabytes.
+/// Guards against memory exhaustion by a small message that inflates to gigabytes.
 #[test]
-fn a_message_that_inflates_beyond_the_bound_is_refused() {
+fn message_that_inflates_beyond_the_limit_is_rejected() {
     let bomb = compress(&"0".repeat(1 << 20)).expect("text is JSON");
     assert!(bomb.len() < 10_000);
     check(&text_of(&bomb), "more than 1000 bytes");
--- a/crates/peer/tests/datagram.rs
+++ b/crates/peer/tests/datagram.rs
@@ -1,4 +1,4 @@
-//! Summaries as datagrams: what fits into one packet, and what other product versions understand.
+//! Digests as datagrams: size limit and compatibility with the previous product version.
 
 use fleet::{
     directory::{Entry, Standing, Update},
@@ -12,8 +12,8 @@
     net::{Ipv4Addr, SocketAddr, UdpSocket},
 };
 
-/// What a node of the version without hearsay sends.
-const FORMER: &str =
+/// A digest of the previous version, which has no gossip about other nodes.
+const PREVIOUS: &str =
     r#"{"f":{"a":"10.0.0.1:7000","i":5},"d":"a","c":3,"l":9,"p":40,"s":10,"x":false,"z":true}"#;
 
 fn entry(number: u64) -> Entry {
@@ -54,10 +54,10 @@
     }
 }
 
-/// Returns a summary that tells as much of other nodes as any, and `reports` of requests under which as many
-/// upstreams ended as are told apart.
+/// Returns a digest with the maximum of gossip about other nodes, and `reports` reports of poison
+/// requests, each with the maximum number of crashes.
 fn full(reports: u64) -> Digest {
-    let about = |n: u16| Rumour {
+    let rumour = |n: u16| Rumour {
         of: Sender {
             address: SocketAddr::from(([10, 100, 200, 100 + n as u8], 65_000)),
             incarnation: 1_800_000_000_000,
@@ -70,68 +70,67 @@
         answered: false,
         age_ms: 36_000_000,
     };
-    let places = ["ktm-a", "lalitpur-b", "bhaktapur-c", "kirtipur-d"];
+    let data_centres = ["ktm-a", "lalitpur-b", "bhaktapur-c", "kirtipur-d"];
     Digest {
-        heard_ms: places.map(|place| (place.to_owned(), 20_000)).into(),
-        rumours: (0..6).map(about).collect(),
+        heard_ms: data_centres.map(|name| (name.to_owned(), 20_000)).into(),
+        rumours: (0..6).map(rumour).collect(),
         reports: (0..reports).map(report).collect(),
         ..digest(5)
     }
 }
 
-/// Sends a summary and returns what arrives.
-fn carry(digest: &Digest) -> Digest {
-    let receiver = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).expect("loopback has ports");
-    let target = receiver.local_addr().expect("it is bound");
-    let socket = Socket::bind(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))).expect("as above");
+/// Sends a digest over loopback and returns the received one.
+fn round_trip(digest: &Digest) -> Digest {
+    let receiver = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).expect("a free port");
+    let target = receiver.local_addr().expect("a bound socket");
+    let socket = Socket::bind(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))).expect("a free port");
     assert_eq!(socket.send(&[target], digest), 0);
     let mut buffer = [0; 4_096];
-    let size = receiver.recv(&mut buffer).expect("loopback loses no single packet");
+    let size = receiver.recv(&mut buffer).expect("a datagram over loopback");
     assert!(size <= 1_200, "one packet");
-    serde_json::from_slice(&buffer[..size]).expect("it was a summary")
+    serde_json::from_slice(&buffer[..size]).expect("a valid digest")
 }
 
-/// Sends a summary with so many changed entries and compares how many arrive with it.
+/// Sends a digest with `entries` changed entries and checks how many are received.
 #[track_caller]
 fn check(entries: u64, expect: Option<usize>) {
-    let heard = carry(&digest(entries));
-    assert_eq!(heard.list, 34);
-    assert_eq!(heard.news.list.map(|list| list.entries.len()), expect);
+    let received = round_trip(&digest(entries));
+    assert_eq!(received.list, 34);
+    assert_eq!(received.news.list.map(|list| list.entries.len()), expect);
 }
 
-/// Hundreds of nodes pull the list at once: the summary that carried the change was longer than a packet,
-/// and nobody could read what arrived of it.
+/// Guards against a digest that exceeds one packet: it is truncated, and all nodes pull the list.
 #[test]
-fn a_change_travels_with_a_summary_only_if_it_fits() {
+fn changes_are_piggybacked_only_if_they_fit() {
     check(1, Some(1));
     check(5, Some(5));
     check(20, None);
 }
 
-/// Word of a request that ends upstreams makes the fullest summaries longer than a packet, and nobody reads
-/// anything of them any more.
+/// Guards against reports of poison requests that make a digest exceed one packet.
 #[test]
-fn what_a_summary_tells_of_ends_fits_beside_all_the_rest() {
-    let told = carry(&full(REPORTS_A_SUMMARY as u64));
-    assert_eq!((told.reports.len(), told.rumours.len()), (REPORTS_A_SUMMARY, 6));
-    let told = carry(&full(40));
-    assert!((REPORTS_A_SUMMARY..40).contains(&told.reports.len()));
-    let told = carry(&Digest { reports: full(REPORTS_AT_ONCE as u64).reports, ..digest(0) });
-    assert_eq!(told.reports.len(), REPORTS_AT_ONCE);
+fn reports_are_limited_to_the_space_left_in_a_digest() {
+    let received = round_trip(&full(REPORTS_A_SUMMARY as u64));
+    assert_eq!((received.reports.len(), received.rumours.len()), (REPORTS_A_SUMMARY, 6));
+    let received = round_trip(&full(40));
+    assert!((REPORTS_A_SUMMARY..40).contains(&received.reports.len()));
+    let received =
+        round_trip(&Digest { reports: full(REPORTS_AT_ONCE as u64).reports, ..digest(0) });
+    assert_eq!(received.reports.len(), REPORTS_AT_ONCE);
 }
 
 #[test]
-fn summaries_of_the_former_version_are_understood() {
-    let heard: Digest = serde_json::from_str(FORMER).expect("it is a summary");
-    assert!(heard.leaving && heard.news.is_empty() && heard.rumours.is_empty());
-    assert_eq!((heard.config, heard.list, heard.contact_ms), (3, 9, Some(40)));
+fn digest_of_the_previous_version_is_parsed() {
+    let received: Digest = serde_json::from_str(PREVIOUS).expect("a valid digest");
+    assert!(received.leaving && received.news.is_empty() && received.rumours.is_empty());
+    assert_eq!((received.config, received.list, received.contact_ms), (3, 9, Some(40)));
 }
 
-/// A node of the former version drops what lacks one of the fields that it has always been told.
+/// The previous version rejects a digest that lacks one of these fields.
 #[test]
-fn the_former_version_finds_what_it_needs() {
-    let told = serde_json::to_value(digest(1)).expect("a summary is JSON");
+fn digest_has_the_fields_required_by_the_previous_version() {
+    let json = serde_json::to_value(digest(1)).expect("a digest is JSON");
     for field in ["f", "d", "c", "l"] {
-        assert!(told.get(field).is_some(), "{field}");
+        assert!(json.get(field).is_some(), "{field}");
     }
 }
--- a/crates/peer/tests/pulls.rs
+++ b/crates/peer/tests/pulls.rs
@@ -1,4 +1,4 @@
-//! Pulls between two nodes on sockets.
+//! Pulls between two nodes over sockets.
 
 use fleet::{
     clock::Stamp,
@@ -14,7 +14,7 @@
 
 const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Answers each pull with the buckets that the asker's first digest names.
+/// Answers each pull with the bucket given by the requester's first bucket digest.
 struct Node;
 
 fn bundle(bucket: usize) -> Bundle {
@@ -40,14 +40,13 @@
     }
 }
 
-/// A node gets a piece that it has and never the one it lacks: pieces are kept packed for the next who
-/// asks, and that one lacks others of the same version.
+/// Guards against a cached chunk being sent to a node that needs other buckets of the same version.
 #[test]
-fn each_asker_gets_the_buckets_that_it_lacks() {
+fn each_requester_receives_its_differing_buckets() {
     let runtime = tokio::runtime::Runtime::new().expect("a runtime starts");
     runtime.block_on(async {
-        let nowhere = "127.0.0.1:0".parse().expect("an address");
-        let (address, _server) = peer::serve(nowhere, Arc::new(Node)).await.expect("it listens");
+        let any_port = "127.0.0.1:0".parse().expect("an address");
+        let (address, _server) = peer::serve(any_port, Arc::new(Node)).await.expect("it listens");
         for bucket in [3, 5, 3, 7, 5] {
             let pull = Pull { have: Some(1), buckets: vec![bucket], limit: Some(1) };
             let answer = peer::send(address, &Request::Pull(pull), TIMEOUT).await;
