--- a/crates/source/src/lib.rs
+++ b/crates/source/src/lib.rs
@@ -1,16 +1,15 @@
-//! The platform as a port, and its HTTP form.
+//! Read-only client of the platform, which holds the configuration and the list of instances.
 //!
-//! This crate exists so that the node depends on [`Source`] and not on how a platform is reached.
-//! The JSON that the platform serves is an API border: it is what our users' configuration service
-//! and the stand-in speak. Nothing here writes to the platform.
+//! The node depends on the trait [`Source`]; [`Http`] implements it with long polling. The JSON is
+//! a public API, which the platform and its test double implement:
 //!
-//! | call | answer |
+//! | request | response |
 //! |---|---|
-//! | `GET /v1/config?base=B&after=A&wait_ms=W` | 200 with a [`Delta`] since revision B (no `base`: all), as soon as the revision exceeds A; 204 with `platform-revision` when W ms pass without |
-//! | `GET /v1/instances?after=A&wait_ms=W` | likewise, with a [`Listing`] |
-//! | `GET /v1/news?after=A&wait_ms=W` | likewise, with a [`Bulletin`]: configuration and upstreams under one revision, for nodes in list mode |
+//! | `GET /v1/config?base=B&after=A&wait_ms=W` | 200 with a [`Delta`] since revision B (without `base`: all documents) as soon as the revision exceeds A; 204 with the header `platform-revision` after W ms without a change |
+//! | `GET /v1/instances?after=A&wait_ms=W` | the same with a [`Listing`] |
+//! | `GET /v1/news?after=A&wait_ms=W` | the same with a [`Bulletin`]: configuration and instances at one revision, for nodes in list mode |
 //!
-//! 429 means that the platform is over its limit of reads.
+//! Status 429 means that the platform's rate limit for reads is exceeded.
 
 use fleet::{
     directory::Update,
@@ -24,71 +23,73 @@
 use snafu::{ResultExt, Snafu};
 use std::{io::Read, net::SocketAddr, time::Duration};
 
-/// Header with the platform's present revision in an answer without content.
+/// Header with the platform's current revision in a 204 response.
 pub const REVISION_HEADER: &str = "platform-revision";
 
-/// Largest answer that is read, in bytes; JSON escapes can double a text.
-const ANSWER_LIMIT: u64 = 3 * MAX_SET_BYTES as u64;
+/// Maximum size of a response body, in bytes; leaves room for JSON escapes.
+const MAX_RESPONSE_BYTES: u64 = 3 * MAX_SET_BYTES as u64;
 
-/// Time for connecting, and for the answer beyond the time that the platform may hold a call.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// Timeout for connecting, and for the response in addition to the long-polling time.
+const TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Where configuration and list come from.
+/// Source of the configuration and of the list of instances.
 pub trait Source: Send + Sync {
-    /// Makes one call and waits for its answer.
+    /// Makes one call and blocks until its answer or failure.
     fn read(&self, query: Query) -> Answer;
 }
 
-/// A platform reached by HTTP.
+/// HTTP client of the platform.
 #[derive(Clone, Debug)]
 pub struct Http {
     address: SocketAddr,
     reader: String,
 }
 
-/// Why a call failed.
+/// Failure of a call.
 #[derive(Debug, Snafu)]
 enum Error {
-    #[snafu(display("the platform cannot be reached: {source}"))]
+    #[snafu(display("cannot reach the platform: {source}"))]
     Reach { source: attohttpc::Error },
-    #[snafu(display("the answer broke off: {source}"))]
+    #[snafu(display("cannot read the response body: {source}"))]
     Body { source: std::io::Error },
-    #[snafu(display("over the limit of reads"))]
-    Refused,
-    #[snafu(display("status {status}"))]
+    #[snafu(display("rate limit exceeded"))]
+    RateLimited,
+    #[snafu(display("unexpected status {status}"))]
     Status { status: u16 },
-    #[snafu(display("the answer is larger than {ANSWER_LIMIT} bytes"))]
+    #[snafu(display("the response exceeds {MAX_RESPONSE_BYTES} bytes"))]
     Large,
-    #[snafu(display("{source}"))]
+    #[snafu(display("malformed response: {source}"))]
     Json { source: serde_json::Error },
     #[snafu(display("{reason}"))]
     Content { reason: String },
 }
 
-/// A successful answer.
-enum Found {
-    Text(Vec<u8>),
-    Nothing(u64),
+/// A successful response.
+enum Response {
+    /// Body of a 200 response.
+    Body(Vec<u8>),
+    /// The platform's revision in a 204 response.
+    Unchanged(u64),
 }
 
 impl Http {
-    /// Creates a source at `address` that calls itself `reader`.
+    /// Creates a client of the platform at `address` that identifies itself as `reader`.
     pub fn new(address: SocketAddr, reader: impl Into<String>) -> Self {
         Http { address, reader: reader.into() }
     }
 
-    fn get(&self, path: &str, wait: Duration) -> Result<Found, Error> {
+    fn get(&self, path: &str, wait: Duration) -> Result<Response, Error> {
         let response = attohttpc::get(format!("http://{}{path}", self.address))
             .header("baobab-reader", &self.reader)
-            .connect_timeout(PATIENCE)
-            .read_timeout(wait + PATIENCE)
-            .timeout(wait + PATIENCE * 2)
+            .connect_timeout(TIMEOUT)
+            .read_timeout(wait + TIMEOUT)
+            .timeout(wait + TIMEOUT * 2)
             .send()
             .context(ReachSnafu)?;
         match response.status().as_u16() {
             200 => read_body(response),
-            204 => Ok(Found::Nothing(revision_of(&response))),
-            429 => RefusedSnafu.fail(),
+            204 => Ok(Response::Unchanged(revision_of(&response))),
+            429 => RateLimitedSnafu.fail(),
             status => StatusSnafu { status }.fail(),
         }
     }
@@ -98,30 +99,30 @@
     fn read(&self, query: Query) -> Answer {
         match query {
             Query::News { after, wait } => {
-                // A first call asks for everything at once.
+                // The first call requests everything, without waiting for a change.
                 let wait = after.map_or(Duration::ZERO, |_| wait);
                 let after = after.unwrap_or(0);
                 let path = format!("/v1/news?after={after}&wait_ms={}", wait.as_millis());
-                let unchanged = |revision| Answer::News(nothing_new(revision, after));
+                let unchanged = |revision| Answer::News(unchanged_bulletin(revision, after));
                 match self.get(&path, wait) {
-                    Ok(Found::Nothing(revision)) => unchanged(revision),
-                    Ok(Found::Text(text)) => {
+                    Ok(Response::Unchanged(revision)) => unchanged(revision),
+                    Ok(Response::Body(text)) => {
                         let news = parse::<Bulletin>(&text).map(Answer::News);
-                        news.unwrap_or_else(|error| Answer::Failed(Topic::News, failure(error)))
+                        news.unwrap_or_else(|error| Answer::Failed(Topic::News, to_failure(error)))
                     }
-                    Err(error) => Answer::Failed(Topic::News, failure(error)),
+                    Err(error) => Answer::Failed(Topic::News, to_failure(error)),
                 }
             }
             Query::Config { base, after, wait } => {
                 let base = base.map(|b| format!("&base={b}")).unwrap_or_default();
                 let path = format!("/v1/config?after={after}&wait_ms={}{base}", wait.as_millis());
-                answer(Topic::Config, self.get(&path, wait), |text| {
+                to_answer(Topic::Config, self.get(&path, wait), |text| {
                     parse::<Delta>(text).and_then(check_delta).map(Answer::Config)
                 })
             }
             Query::List { after, wait } => {
                 let path = format!("/v1/instances?after={after}&wait_ms={}", wait.as_millis());
-                answer(Topic::List, self.get(&path, wait), |text| {
+                to_answer(Topic::List, self.get(&path, wait), |text| {
                     parse::<Listing>(text).and_then(check_listing).map(Answer::List)
                 })
             }
@@ -129,27 +130,27 @@
     }
 }
 
-fn nothing_new(revision: u64, after: u64) -> Bulletin {
+fn unchanged_bulletin(revision: u64, after: u64) -> Bulletin {
     let revision = revision.max(after);
     let list = Update { revision, base: Some(after), ..Update::default() };
     Bulletin { revision, list, ..Bulletin::default() }
 }
 
-fn answer(
+fn to_answer(
     topic: Topic,
-    found: Result<Found, Error>,
+    response: Result<Response, Error>,
     read: impl FnOnce(&[u8]) -> Result<Answer, Error>,
 ) -> Answer {
-    let result = found.and_then(|found| match found {
-        Found::Text(text) => read(&text),
-        Found::Nothing(revision) => Ok(Answer::Unchanged(topic, revision)),
+    let result = response.and_then(|response| match response {
+        Response::Body(text) => read(&text),
+        Response::Unchanged(revision) => Ok(Answer::Unchanged(topic, revision)),
     });
-    result.unwrap_or_else(|error| Answer::Failed(topic, failure(error)))
+    result.unwrap_or_else(|error| Answer::Failed(topic, to_failure(error)))
 }
 
-fn failure(error: Error) -> Failure {
+fn to_failure(error: Error) -> Failure {
     match error {
-        Error::Refused => Failure::Refused,
+        Error::RateLimited => Failure::Refused,
         Error::Json { .. } | Error::Content { .. } | Error::Large => {
             Failure::Malformed(Fault::new("platform", "", error.to_string()))
         }
@@ -159,14 +160,14 @@
     }
 }
 
-fn read_body(response: attohttpc::Response) -> Result<Found, Error> {
+fn read_body(response: attohttpc::Response) -> Result<Response, Error> {
     let mut text = Vec::new();
     let (_, _, reader) = response.split();
-    reader.take(ANSWER_LIMIT + 1).read_to_end(&mut text).context(BodySnafu)?;
-    if text.len() as u64 > ANSWER_LIMIT {
+    reader.take(MAX_RESPONSE_BYTES + 1).read_to_end(&mut text).context(BodySnafu)?;
+    if text.len() as u64 > MAX_RESPONSE_BYTES {
         return LargeSnafu.fail();
     }
-    Ok(Found::Text(text))
+    Ok(Response::Body(text))
 }
 
 fn revision_of(response: &attohttpc::Response) -> u64 {
@@ -178,10 +179,10 @@
     serde_json::from_slice(text).context(JsonSnafu)
 }
 
-/// Refuses what no platform that keeps its word would serve, before memory is spent on it.
+/// Rejects a delta that violates the platform's limits, before it is stored.
 fn check_delta(delta: Delta) -> Result<Delta, Error> {
-    let large = delta.documents.iter().find(|d| d.text.len() > MAX_DOCUMENT_BYTES);
-    if let Some(document) = large {
+    let oversized = delta.documents.iter().find(|d| d.text.len() > MAX_DOCUMENT_BYTES);
+    if let Some(document) = oversized {
         let reason = format!("{} exceeds {MAX_DOCUMENT_BYTES} bytes", document.key);
         return ContentSnafu { reason }.fail();
     }
@@ -189,7 +190,7 @@
         return ContentSnafu { reason: format!("more than {MAX_DOCUMENTS} documents") }.fail();
     }
     if let Some(document) = delta.documents.iter().find(|d| d.modified > delta.revision) {
-        let reason = format!("{} is newer than the revision that holds it", document.key);
+        let reason = format!("{} is newer than the revision of the delta", document.key);
         return ContentSnafu { reason }.fail();
     }
     Ok(delta)
@@ -200,7 +201,7 @@
     addresses.sort();
     match addresses.windows(2).find(|pair| pair[0] == pair[1]) {
         Some(pair) => {
-            let reason = format!("two instances are listed at {}", pair[0]);
+            let reason = format!("duplicate instance address {}", pair[0]);
             ContentSnafu { reason }.fail()
         }
         None => Ok(listing),
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,8 +1,7 @@
 //! Logs and metrics.
 //!
-//! This crate exists so that the other crates name what they count and log, and only this one
-//! knows the libraries that carry it. It is not an API border; the names of metrics are, and they
-//! are listed in [`metric::CATALOGUE`].
+//! Wraps the logging and metrics libraries, so that other crates do not depend on them. The names
+//! of metrics are a public API; [`metric::CATALOGUE`] lists them.
 
 pub mod log;
 pub mod metric;
--- a/crates/telemetry/src/log.rs
+++ b/crates/telemetry/src/log.rs
@@ -1,8 +1,8 @@
 //! Logs as JSON lines on standard output.
 //!
-//! Whoever reads standard output may be slow or stop reading. No thread that does other work waits
-//! for it: lines go through a bounded queue to a thread that writes them in batches, and what finds
-//! the queue full is counted and left out.
+//! Logging never blocks, even if the reader of standard output does not read: lines go through a
+//! bounded queue to a thread that writes them in batches. Lines that exceed the queue are dropped
+//! and counted.
 
 use crossbeam::channel::{self, Receiver, Sender, TrySendError};
 use fleet::timeline::Event;
@@ -19,20 +19,19 @@
     time::Duration,
 };
 
-/// Lines that may wait to be written. At 300 bytes each they take under 1.3 MB.
-const QUEUE_LIMIT: usize = 4_096;
+/// Capacity of the queue, in lines.
+const QUEUE_LINES: usize = 4_096;
 
-/// Time for which lines are gathered before they are written together: one system call and one
-/// wake-up for many lines, and an engineer who follows the log notices no delay.
-const GATHER: Duration = Duration::from_millis(100);
+/// Time for which lines are collected into one batch, to save system calls and wake-ups.
+const BATCH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Starts logging events of `level` and above on standard output.
+/// Starts logging at `level` and above to standard output.
 ///
-/// Every column of the logger is turned off: the message alone is a whole JSON object.
+/// All prefixes of the logger are turned off, since each message is a complete JSON object.
 pub fn init(level: LevelFilter) -> Result<(), SetLoggerError> {
-    let (sender, receiver) = channel::bounded(QUEUE_LIMIT);
+    let (sender, receiver) = channel::bounded(QUEUE_LINES);
     let dropped = Arc::new(AtomicU64::new(0));
-    let queue = Queue { sender, dropped: dropped.clone(), line: Vec::new() };
+    let queue = QueueWriter { sender, dropped: dropped.clone(), line: Vec::new() };
     let mut config = ConfigBuilder::new();
     config
         .set_time_level(LevelFilter::Off)
@@ -43,44 +42,46 @@
         .set_location_level(LevelFilter::Off)
         .add_filter_allow_str("telemetry");
     WriteLogger::init(level, config.build(), queue)?;
-    let work = move || write_all(&receiver, &dropped, &mut io::stdout());
-    // Without the thread nothing is logged; the node works all the same.
+    let work = move || write_batches(&receiver, &dropped, &mut io::stdout());
+    // If the thread cannot be started, the node runs without a log.
     let _ = thread::Builder::new().name("log".to_owned()).spawn(work);
     Ok(())
 }
 
-/// Logs an event of the time line.
+/// Logs an event of the timeline.
 pub fn event(event: &Event) {
     line(event);
 }
 
-/// Logs anything that serializes to a JSON object.
+/// Logs a value that serializes to a JSON object.
 pub fn line<T: Serialize>(value: &T) {
     match serde_json::to_string(value) {
         Ok(text) => log::info!("{text}"),
-        Err(error) => message(log::Level::Error, "", &format!("a line cannot be written: {error}")),
+        Err(error) => {
+            message(log::Level::Error, "", &format!("cannot serialize a log line: {error}"))
+        }
     }
 }
 
-/// Logs a message that belongs to no event, such as a failure to start.
+/// Logs a free-text message, such as a failure to start.
 pub fn message(level: log::Level, node: &str, text: &str) {
     let line = serde_json::json!({ "node": node, "event": "message", "text": text });
     log::log!(level, "{line}");
 }
 
-/// Waits until the lines so far are written, but no longer than a moment.
+/// Waits for two batch intervals, in which queued lines are normally written.
 pub fn flush() {
-    thread::sleep(GATHER * 2);
+    thread::sleep(BATCH_INTERVAL * 2);
 }
 
-/// The end of the queue that the logger writes to, in pieces of lines.
-struct Queue {
+/// Writer of the logger: assembles lines and puts them into the queue.
+struct QueueWriter {
     sender: Sender<Vec<u8>>,
     dropped: Arc<AtomicU64>,
     line: Vec<u8>,
 }
 
-impl Write for Queue {
+impl Write for QueueWriter {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.line.extend_from_slice(bytes);
         if self.line.ends_with(b"\n") {
@@ -100,18 +101,18 @@
     }
 }
 
-/// Writes lines in batches until the logger is gone.
-fn write_all(lines: &Receiver<Vec<u8>>, dropped: &AtomicU64, output: &mut dyn Write) {
+/// Writes lines in batches until the logger is dropped.
+fn write_batches(lines: &Receiver<Vec<u8>>, dropped: &AtomicU64, output: &mut dyn Write) {
     while let Ok(first) = lines.recv() {
-        thread::sleep(GATHER);
+        thread::sleep(BATCH_INTERVAL);
         let mut batch = first;
-        batch.extend(lines.try_iter().take(QUEUE_LIMIT).flatten());
-        let left_out = dropped.swap(0, Ordering::Relaxed);
-        if left_out > 0 {
-            let note = serde_json::json!({ "event": "lines-left-out", "count": left_out });
+        batch.extend(lines.try_iter().take(QUEUE_LINES).flatten());
+        let dropped_lines = dropped.swap(0, Ordering::Relaxed);
+        if dropped_lines > 0 {
+            let note = serde_json::json!({ "event": "lines-left-out", "count": dropped_lines });
             batch.extend(format!("{note}\n").into_bytes());
         }
-        // Standard output may be closed; then nobody reads.
+        // Ignores errors, such as a closed standard output.
         let _ = output.write_all(&batch).and_then(|()| output.flush());
     }
 }
--- a/crates/telemetry/src/metric.rs
+++ b/crates/telemetry/src/metric.rs
@@ -1,4 +1,4 @@
-//! Metrics, collected by `opentelemetry` and rendered as Prometheus text.
+//! Metrics, collected with `opentelemetry` and rendered in the Prometheus text format.
 
 use opentelemetry::{
     KeyValue,
@@ -9,20 +9,20 @@
 use snafu::{ResultExt, Snafu};
 use std::time::Duration;
 
-/// Bounds of the latency histogram, in seconds.
-const LATENCY_BOUNDS: [f64; 12] =
+/// Bucket boundaries of the latency histogram, in seconds.
+const LATENCY_BUCKETS_S: [f64; 12] =
     [0.0001, 0.0002, 0.0005, 0.001, 0.002, 0.005, 0.01, 0.05, 0.1, 0.5, 1.0, 5.0];
 
-/// A metric's name, unit and meaning, as the operators' page lists them.
+/// Descriptor of a metric, as listed on the reference page.
 #[derive(Clone, Copy, Debug)]
 pub struct Entry {
-    /// Name as `opentelemetry` knows it.
+    /// Name of the `opentelemetry` instrument.
     pub name: &'static str,
     /// Unit in UCUM notation.
     pub unit: &'static str,
-    /// Attributes.
+    /// Names of the attributes, separated by commas.
     pub attributes: &'static str,
-    /// Meaning.
+    /// Description for the reference page and the instrument.
     pub help: &'static str,
 }
 
@@ -30,67 +30,67 @@
     name: "baobabrelay.calls",
     unit: "{call}",
     attributes: "service, outcome",
-    help: "Calls answered by this node as entry node",
+    help: "Calls answered by this node as entry node, by outcome",
 };
 const NOT_RUN: Entry = Entry {
     name: "baobabrelay.not_run",
     unit: "{call}",
     attributes: "service, cause",
-    help: "Calls answered as not run",
+    help: "Calls answered as not executed",
 };
 const RETRIES: Entry = Entry {
     name: "baobabrelay.retries",
     unit: "{attempt}",
     attributes: "service",
-    help: "Attempts after the first",
+    help: "Retries and hedged requests",
 };
 const REFUSED: Entry = Entry {
     name: "baobabrelay.claims_refused",
     unit: "{offer}",
     attributes: "cause",
-    help: "Offers that this node as serving node refused before running them",
+    help: "Requests that this node as serving node refused before execution",
 };
 const EJECTIONS: Entry = Entry {
     name: "baobabrelay.ejections",
     unit: "{upstream}",
     attributes: "service",
-    help: "Upstreams that this node stopped choosing for a while",
+    help: "Ejections of upstreams from load balancing by this node",
 };
 const ENDS: Entry = Entry {
     name: "baobabrelay.upstream.ends",
     unit: "{process}",
     attributes: "",
-    help: "Times that the own upstream's process ended while it ran requests",
+    help: "Crashes of the local upstream's process while it executed requests",
 };
 const QUARANTINED: Entry = Entry {
     name: "baobabrelay.quarantined",
     unit: "{request}",
     attributes: "",
-    help: "Requests that are not run, since upstreams ended under them",
+    help: "Poison requests in quarantine, which are not executed",
 };
 const DURATION: Entry = Entry {
     name: "baobabrelay.call.duration",
     unit: "s",
     attributes: "service",
-    help: "Time from a request's head to its answer",
+    help: "Time from receiving a request's head to its answer",
 };
 const REVISION: Entry = Entry {
     name: "baobabrelay.config.revision",
     unit: "{revision}",
     attributes: "",
-    help: "Revision in force",
+    help: "Active revision of the configuration",
 };
 const KNOWN: Entry = Entry {
     name: "baobabrelay.config.known",
     unit: "{revision}",
     attributes: "",
-    help: "Highest revision of the configuration that any node was heard to hold",
+    help: "Highest revision of the configuration that any known node holds",
 };
 const REJECTED: Entry = Entry {
     name: "baobabrelay.config.rejected",
     unit: "{version}",
     attributes: "",
-    help: "Versions refused",
+    help: "Rejected versions of the configuration",
 };
 const MEMBERS: Entry =
     Entry { name: "baobabrelay.members", unit: "{node}", attributes: "state", help: "Known nodes" };
@@ -104,7 +104,7 @@
     name: "baobabrelay.peer.lost",
     unit: "{message}",
     attributes: "kind",
-    help: "Requests to other nodes that brought no answer in time",
+    help: "Requests to other nodes without a valid response in time",
 };
 const READS: Entry = Entry {
     name: "baobabrelay.source.reads",
@@ -116,16 +116,16 @@
     name: "baobabrelay.control.cpu",
     unit: "s",
     attributes: "",
-    help: "Processor time of all threads that do not carry calls",
+    help: "CPU time of all threads that do not serve calls",
 };
 const IN_FLIGHT: Entry = Entry {
     name: "baobabrelay.calls.in_hand",
     unit: "{call}",
     attributes: "",
-    help: "Calls that this node holds as entry node",
+    help: "Calls in flight on this node as entry node",
 };
 
-/// Every metric, in the order of the operators' page.
+/// All metrics, in the order of the reference page.
 pub const CATALOGUE: [Entry; 17] = [
     CALLS,
     NOT_RUN,
@@ -146,24 +146,24 @@
     IN_FLIGHT,
 ];
 
-/// Failure to set up or to render metrics.
+/// Failure to set up or render metrics.
 #[derive(Debug, Snafu)]
 pub enum Error {
     /// The exporter could not be registered.
     #[snafu(display("cannot set up metrics: {source}"))]
     Setup {
-        /// What the exporter says.
+        /// Error of the exporter.
         source: opentelemetry_sdk::error::OTelSdkError,
     },
-    /// The text form could not be made.
+    /// The metrics could not be encoded as text.
     #[snafu(display("cannot render metrics: {source}"))]
     Render {
-        /// What the encoder says.
+        /// Error of the encoder.
         source: prometheus::Error,
     },
 }
 
-/// All instruments of a node.
+/// The instruments of a node.
 pub struct Meter {
     registry: Registry,
     _provider: SdkMeterProvider,
@@ -187,7 +187,7 @@
 }
 
 impl Meter {
-    /// Creates the instruments.
+    /// Creates and registers the instruments.
     pub fn new() -> Result<Self, Error> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
@@ -201,7 +201,7 @@
         let gauge =
             |e: Entry| meter.u64_gauge(e.name).with_unit(e.unit).with_description(e.help).build();
         let rejected = counter(REJECTED);
-        // A counter without any event is not rendered, and would look like one that is not there.
+        // Initializes the counter, since one that was never incremented is not rendered.
         rejected.add(0, &[]);
         let ends = counter(ENDS);
         ends.add(0, &[]);
@@ -217,7 +217,7 @@
                 .f64_histogram(DURATION.name)
                 .with_unit(DURATION.unit)
                 .with_description(DURATION.help)
-                .with_boundaries(LATENCY_BOUNDS.to_vec())
+                .with_boundaries(LATENCY_BUCKETS_S.to_vec())
                 .build(),
             revision: gauge(REVISION),
             known: gauge(KNOWN),
@@ -237,55 +237,55 @@
         })
     }
 
-    /// Counts a call that was answered with `outcome` after `elapsed`.
+    /// Counts a call answered with `outcome`, and records its latency.
     pub fn count_call(&self, service: &str, outcome: &'static str, elapsed: Duration) {
         let service = KeyValue::new("service", service.to_owned());
         self.duration.record(elapsed.as_secs_f64(), std::slice::from_ref(&service));
         self.calls.add(1, &[service, KeyValue::new("outcome", outcome)]);
     }
 
-    /// Counts a call that was answered as not run.
+    /// Counts a call that was answered as not executed.
     pub fn count_not_run(&self, service: &str, cause: &'static str) {
         let service = KeyValue::new("service", service.to_owned());
         self.not_run.add(1, &[service, KeyValue::new("cause", cause)]);
     }
 
-    /// Counts an attempt after the first.
+    /// Counts a retry or a hedged request.
     pub fn count_retry(&self, service: &str) {
         self.retries.add(1, &[KeyValue::new("service", service.to_owned())]);
     }
 
-    /// Counts an offer that was refused before it was run.
+    /// Counts a request that this node as serving node refused before execution.
     pub fn count_refusal(&self, cause: &'static str) {
         self.refused.add(1, &[KeyValue::new("cause", cause)]);
     }
 
-    /// Counts an ejection.
+    /// Counts the ejection of an upstream.
     pub fn count_ejection(&self, service: &str) {
         self.ejections.add(1, &[KeyValue::new("service", service.to_owned())]);
     }
 
-    /// Counts an end of the own upstream's process.
+    /// Counts a crash of the local upstream's process.
     pub fn count_upstream_end(&self) {
         self.ends.add(1, &[]);
     }
 
-    /// Sets the number of requests that are not run.
+    /// Sets the number of requests in quarantine.
     pub fn set_quarantined(&self, requests: u64) {
         self.quarantined.record(requests, &[]);
     }
 
-    /// Sets the revision in force.
+    /// Sets the active revision.
     pub fn set_revision(&self, revision: u64) {
         self.revision.record(revision, &[]);
     }
 
-    /// Sets the highest revision of the configuration that any node was heard to hold.
+    /// Sets the highest revision of the configuration that any known node holds.
     pub fn set_known_revision(&self, revision: u64) {
         self.known.record(revision, &[]);
     }
 
-    /// Counts a refused version.
+    /// Counts a rejected version.
     pub fn count_rejection(&self) {
         self.rejected.add(1, &[]);
     }
@@ -300,7 +300,7 @@
         self.messages.add(1, &[KeyValue::new("kind", kind)]);
     }
 
-    /// Counts a request to another node that brought no answer in time.
+    /// Counts a request to another node without a valid response in time.
     pub fn count_lost_message(&self, kind: &'static str) {
         self.lost.add(1, &[KeyValue::new("kind", kind)]);
     }
@@ -310,20 +310,20 @@
         self.reads.add(1, &[]);
     }
 
-    /// Sets the processor time of the control part.
+    /// Sets the CPU time of the threads that do not serve calls, in seconds.
     pub fn set_control_cpu(&self, seconds: f64) {
         self.control_cpu.record(seconds, &[]);
     }
 
-    /// Sets the number of calls in hand.
+    /// Sets the number of calls in flight.
     pub fn set_in_flight(&self, calls: u64) {
         self.in_flight.record(calls, &[]);
     }
 
     /// Renders all metrics as Prometheus text, histograms last.
     ///
-    /// Histograms grow with each service that is called. Who keeps only the beginning of the text
-    /// still sees what there is one line of, such as the revision in force.
+    /// Histograms grow with the number of services. A reader that truncates the text still gets the
+    /// single-line metrics, such as the active revision.
     pub fn render(&self) -> Result<String, Error> {
         let mut families = self.registry.gather();
         families.sort_by_key(|family| family.get_field_type() == MetricType::HISTOGRAM);
--- a/crates/telemetry/tests/metrics.rs
+++ b/crates/telemetry/tests/metrics.rs
@@ -1,10 +1,10 @@
-//! What the text of the metrics holds, and in which order.
+//! Content and order of the rendered metrics.
 
 use std::time::Duration;
 use telemetry::metric::{CATALOGUE, Meter};
 
-/// Records each metric once.
-fn filled() -> Meter {
+/// Returns a meter with every metric recorded.
+fn recorded_meter() -> Meter {
     let meter = Meter::new().expect("the exporter registers");
     meter.count_call("stock", "ok", Duration::from_millis(3));
     meter.count_not_run("stock", "full");
@@ -34,25 +34,25 @@
     text.lines().find(|line| line.starts_with(start))
 }
 
-/// Nobody sees that nodes serve an old revision: whoever keeps only the first lines of the metrics
-/// keeps the buckets of a histogram, which grow with each service that is called.
+/// Guards against losing single-line metrics behind the histograms when a reader truncates the
+/// text.
 #[test]
-fn histograms_come_last() {
-    let meter = filled();
+fn histograms_are_rendered_last() {
+    let meter = recorded_meter();
     for i in 0..40 {
         meter.count_call(&format!("service-{i}"), "ok", Duration::from_millis(i));
     }
-    let text = meter.render().expect("it renders");
+    let text = meter.render().expect("rendered metrics");
     let histograms: Vec<bool> =
         types(&text).into_iter().map(|(_, kind)| kind == "histogram").collect();
     assert!(histograms.contains(&true));
     assert!(histograms.is_sorted(), "{:?}", types(&text));
 }
 
-/// Names stay in order, so that a reader finds one where it was the time before.
+/// The order of metrics is stable.
 #[test]
-fn the_others_stand_in_order_of_their_names() {
-    let text = filled().render().expect("it renders");
+fn other_metrics_are_sorted_by_name() {
+    let text = recorded_meter().render().expect("rendered metrics");
     let names: Vec<&str> =
         types(&text).into_iter().filter(|(_, kind)| *kind != "histogram").map(|f| f.0).collect();
     assert!(names.is_sorted(), "{names:?}");
@@ -60,7 +60,7 @@
 
 #[test]
 fn every_metric_of_the_catalogue_is_rendered() {
-    let text = filled().render().expect("it renders");
+    let text = recorded_meter().render().expect("rendered metrics");
     for entry in CATALOGUE {
         let name = entry.name.replace('.', "_");
         assert!(line(&text, &name).is_some(), "{name} is missing in\n{text}");
@@ -68,8 +68,8 @@
 }
 
 #[test]
-fn the_state_of_the_configuration_is_told() {
-    let text = filled().render().expect("it renders");
+fn configuration_metrics_have_the_recorded_values() {
+    let text = recorded_meter().render().expect("rendered metrics");
     for (name, value) in [
         ("baobabrelay_config_revision", "102"),
         ("baobabrelay_config_known", "209"),
@@ -81,12 +81,11 @@
     }
 }
 
-/// An absent number of refused versions looks like a node of an older release, or like a metric that
-/// was misspelt, where it means that none was refused.
+/// Guards against an absent counter that can't be told apart from an unsupported metric.
 #[test]
-fn no_refused_version_is_told_as_zero() {
+fn counter_of_rejected_versions_is_rendered_at_zero() {
     let meter = Meter::new().expect("the exporter registers");
-    let text = meter.render().expect("it renders");
+    let text = meter.render().expect("rendered metrics");
     let line = line(&text, "baobabrelay_config_rejected").unwrap_or_default();
     assert_eq!(line.rsplit(' ').next(), Some("0"), "{text}");
 }
--- a/crates/trace/src/order.rs
+++ b/crates/trace/src/order.rs
@@ -1,32 +1,31 @@
-//! The causal order of lines from nodes whose clocks disagree.
+//! Causal order of the lines of a trace, independent of clock skew between nodes.
 
 use std::collections::VecDeque;
 
 use crate::{Line, Step};
 
-/// Orders the lines of one request: what each node wrote as entry node or as serving node stays in
-/// its order, and what a serving node did with an attempt stands between the offer and the end of
-/// that attempt at the entry node, also where both are one.
+/// Sorts the lines of one request in causal order.
 ///
-/// Clocks decide only between lines that neither of the two rules orders; they may be seconds apart
-/// or have jumped in between.
+/// Lines of one node in the same role (entry or serving) keep their order. Lines of the serving
+/// node about an attempt come between the entry node's `offered` and `attempted` lines. Timestamps
+/// break the remaining ties.
 ///
 /// ```
 /// assert!(trace::sort_causally(Vec::new()).is_empty());
 /// ```
 pub fn sort_causally(lines: Vec<Line>) -> Vec<Line> {
-    let mut queues = by_writer(lines);
+    let mut queues = group_by_writer(lines);
     let mut ordered: Vec<Line> = Vec::new();
-    while let Some(next) = next_node(&queues, &ordered) {
+    while let Some(next) = next_queue(&queues, &ordered) {
         let queue = &mut queues[next];
         ordered.extend(queue.pop_front());
     }
     ordered
 }
 
-/// Returns the lines by who wrote them. A node writes its lines as serving node and those as entry
-/// node each when that part of the work ends, so their order in the log says nothing.
-fn by_writer(lines: Vec<Line>) -> Vec<VecDeque<Line>> {
+/// Groups the lines by node and role. A node writes the lines of each role when that role ends, so
+/// their order across roles has no meaning.
+fn group_by_writer(lines: Vec<Line>) -> Vec<VecDeque<Line>> {
     let serving = |line: &Line| matches!(line.step, Step::Claimed { .. } | Step::Ran { .. });
     let mut queues: Vec<VecDeque<Line>> = Vec::new();
     for line in lines {
@@ -39,30 +38,30 @@
     queues
 }
 
-/// Returns the queue whose first line may come next; the earliest by the clock among several.
-fn next_node(queues: &[VecDeque<Line>], ordered: &[Line]) -> Option<usize> {
+/// Returns the queue whose first line comes next; of several, the one with the earliest timestamp.
+fn next_queue(queues: &[VecDeque<Line>], ordered: &[Line]) -> Option<usize> {
     let heads = || queues.iter().enumerate().filter_map(|(i, q)| q.front().map(|head| (i, head)));
-    let free = heads().filter(|(_, head)| !is_blocked(head, queues, ordered));
-    let next = free.min_by_key(|(_, head)| head.t);
-    // Lines can be missing from logs; what waits for them must come at last.
+    let ready = heads().filter(|(_, head)| !is_blocked(head, queues, ordered));
+    let next = ready.min_by_key(|(_, head)| head.t);
+    // If all are blocked, some line is missing from the logs: continue with the earliest.
     next.or_else(|| heads().min_by_key(|(_, head)| head.t)).map(|(index, _)| index)
 }
 
-/// Tells whether a line must come after one that is still in a queue.
+/// Returns whether `line` must come after a line that is still in a queue.
 fn is_blocked(line: &Line, queues: &[VecDeque<Line>], ordered: &[Line]) -> bool {
     let Some(attempt) = line.step.attempt() else { return false };
-    let same = |other: &Line| other.step.attempt() == Some(attempt);
-    let waits = |is_before: fn(&Step) -> bool| {
+    let same_attempt = |other: &Line| other.step.attempt() == Some(attempt);
+    let is_pending = |is_before: fn(&Step) -> bool| {
         let pending = queues.iter().flatten();
-        pending.filter(|other| same(other)).any(|other| is_before(&other.step))
+        pending.filter(|other| same_attempt(other)).any(|other| is_before(&other.step))
     };
-    let offered = |other: &Line| same(other) && matches!(other.step, Step::Offered { .. });
+    let is_offer = |other: &Line| same_attempt(other) && matches!(other.step, Step::Offered { .. });
     match line.step {
         Step::Claimed { .. } | Step::Ran { .. } => {
-            !ordered.iter().any(offered) && waits(|step| matches!(step, Step::Offered { .. }))
+            !ordered.iter().any(is_offer) && is_pending(|step| matches!(step, Step::Offered { .. }))
         }
         Step::Attempted { .. } => {
-            waits(|step| matches!(step, Step::Claimed { .. } | Step::Ran { .. }))
+            is_pending(|step| matches!(step, Step::Claimed { .. } | Step::Ran { .. }))
         }
         _ => false,
     }
--- a/crates/trace/tests/order.rs
+++ b/crates/trace/tests/order.rs
@@ -1,4 +1,4 @@
-//! Lines of one request in causal order, whatever the clocks say.
+//! Causal order of a trace under clock skew, and explanations of outcomes.
 
 use trace::{Line, Step, explain, sort_causally};
 
@@ -60,10 +60,9 @@
     lines.iter().map(name).collect()
 }
 
-/// An engineer reads that a request ran before it was offered: the serving node's clock is five
-/// seconds behind, and lines were sorted by their clocks alone.
+/// Guards against sorting by timestamps alone, where the request seems to run before it is sent.
 #[test]
-fn clocks_that_disagree_do_not_turn_cause_and_effect_around() {
+fn causal_order_holds_if_the_serving_node_clock_is_behind() {
     let lines = vec![
         line("serving", 5_010, claimed(7, "overloaded")),
         line("entry", 10_000, offered(7)),
@@ -75,7 +74,7 @@
 }
 
 #[test]
-fn a_clock_ahead_does_not_either() {
+fn causal_order_holds_if_the_serving_node_clock_is_ahead() {
     let lines = vec![
         line("entry", 10_000, offered(7)),
         line("entry", 10_040, attempted(7, "not-run", "overloaded")),
@@ -87,10 +86,9 @@
     );
 }
 
-/// A call to the upstream beside its entry node reads as if it had run before it was routed: the node
-/// writes the lines of the one part of its work before those of the other.
+/// Guards against the write order of a node that is both entry and serving node of a call.
 #[test]
-fn a_node_that_serves_its_own_call_tells_it_in_order() {
+fn causal_order_holds_if_entry_and_serving_node_are_the_same() {
     let lines = vec![
         line("both", 10_010, claimed(7, "run")),
         line("both", 10_000, offered(7)),
@@ -101,7 +99,7 @@
 }
 
 #[test]
-fn missing_lines_hold_nothing_back() {
+fn missing_lines_do_not_block_the_others() {
     let lines = vec![
         line("serving", 1, claimed(7, "run")),
         line("entry", 2, attempted(8, "unknown", "timeout")),
@@ -110,10 +108,10 @@
 }
 
 #[test]
-fn the_last_sentence_names_the_cause() {
+fn explanation_names_the_cause() {
     let check = |lines: Vec<Line>, expect: &str| {
-        let told = explain(&sort_causally(lines));
-        assert!(told.contains(expect), "{told}");
+        let explanation = explain(&sort_causally(lines));
+        assert!(explanation.contains(expect), "{explanation}");
     };
     check(vec![line("e", 1, ended("not-run", "overloaded"))], "no slot in time");
     check(vec![line("e", 1, ended("unknown", "timeout"))], "no answer came in time");
