--- a/crates/trace/src/cause.rs
+++ b/crates/trace/src/cause.rs
@@ -63,10 +63,10 @@
         "unknown-service" => "no route or service of the active revision matches",
         "unready" => "the node had no configuration yet",
         "outdated" => {
-            "no route matched, and the node's configuration was older than another node's"
+            "no route led anywhere in the configuration of the node, which was older than another's"
         }
         "no-upstream" => "no upstream of the service was listed and reachable",
-        "overloaded" => "every upstream that was tried had no slot in time",
+        "overloaded" => "every upstream that was asked had no slot in time",
         "refused" => "the upstream refused to execute it",
         "leaving" => "the node was shutting down",
         "unreachable" => "no connection to the upstream's node, or from that node to the upstream",
@@ -74,9 +74,7 @@
         "cancelled" => "the caller disconnected before it was executed",
         "paused" => "the node had been paused and could not determine the request's age",
         "replaced" => "another upstream now has the address",
-        "quarantined" => {
-            "upstreams crashed while executing the same request, which is in quarantine"
-        }
+        "quarantined" => "upstreams ended under the same request, which is in quarantine",
         "evacuated" => "every remaining upstream is in a data centre that operators have evacuated",
         "saturated" => "the entry node had reached its limit of requests in flight",
         "bad-request" => "the request was truncated, too large, too slow or malformed",
