--- a/crates/telemetry/src/log.rs
+++ b/crates/telemetry/src/log.rs
@@ -57,9 +57,7 @@
 pub fn line<T: Serialize>(value: &T) {
     match serde_json::to_string(value) {
         Ok(text) => log::info!("{text}"),
-        Err(error) => {
-            message(log::Level::Error, "", &format!("cannot serialize a log line: {error}"))
-        }
+        Err(error) => message(log::Level::Error, "", &format!("cannot serialize a line: {error}")),
     }
 }
 
