--- a/crates/source/src/lib.rs
+++ b/crates/source/src/lib.rs
@@ -108,7 +108,9 @@
                     Ok(Response::Unchanged(revision)) => unchanged(revision),
                     Ok(Response::Body(text)) => {
                         let news = parse::<Changeset>(&text).map(Answer::Changes);
-                        news.unwrap_or_else(|error| Answer::Failed(Topic::Changes, to_failure(error)))
+                        news.unwrap_or_else(|error| {
+                            Answer::Failed(Topic::Changes, to_failure(error))
+                        })
                     }
                     Err(error) => Answer::Failed(Topic::Changes, to_failure(error)),
                 }
