--- a/crates/traffic/src/admission.rs
+++ b/crates/traffic/src/admission.rs
@@ -1,6 +1,5 @@
-//! What the own upstream and its link are busy with: slots, turns of large bodies, running work.
-//!
-//! Nothing here knows a call; tasks wait, hold and give back.
+//! Admission to this node's upstream and link: a semaphore with a priority queue, scheduling of large
+//! body transfers, and a registry of the requests that the upstream is processing.
 
 pub(crate) mod running;
 pub(crate) mod semaphore;
--- a/crates/traffic/src/admission/running.rs
+++ b/crates/traffic/src/admission/running.rs
@@ -1,9 +1,7 @@
-//! The requests that the own upstream works on, by their ids.
+//! Registry of the requests that this node's upstream is processing, by id.
 //!
-//! An upstream makes calls of its own while it works on a request, through the node beside it, and
-//! the work waits for their answers. They come from the same address as the calls of callers. Their
-//! ids tell them apart: an upstream makes each one out of the id of the request that it works on,
-//! a dot, and something of its own.
+//! Identifies nested calls, which an upstream makes while it processes a request. They arrive from the
+//! same address as other calls; their id is the parent's id, a dot and a suffix.
 
 use policy::{admission::Rank, urgency::Work};
 use std::{
@@ -13,24 +11,24 @@
 
 use crate::lock::lock;
 
-/// What stands between the id of a request and that of a call made for it.
+/// Separates the parent's id from the suffix in the id of a nested call.
 const SEPARATOR: char = '.';
 
-/// Requests that the upstream works on, by their ids.
+/// Requests that the upstream is processing, by id.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Registry {
     ids: Arc<Mutex<HashMap<String, Run>>>,
 }
 
-/// What is known of a request that the upstream works on.
+/// State of a request that the upstream is processing.
 #[derive(Clone, Copy, Debug)]
 struct Run {
-    /// How often it is there.
+    /// Number of concurrent runs with this id.
     count: usize,
     work: Work,
 }
 
-/// A request that the upstream works on, until this is dropped.
+/// Keeps a request registered until dropped.
 #[derive(Debug)]
 pub(crate) struct Guard {
     running: Registry,
@@ -38,20 +36,20 @@
 }
 
 impl Registry {
-    /// Notes that the upstream begins to work on `id`, which was let in under `rank`.
+    /// Registers the request `id`, admitted with `rank`.
     pub(crate) fn begin(&self, id: &str, rank: Rank) -> Guard {
         let run = Run { count: 0, work: Work { rank, answered: 0 } };
         self.lock().entry(id.to_owned()).or_insert(run).count += 1;
         Guard { running: self.clone(), id: id.to_owned() }
     }
 
-    /// Returns the work that the call `id` is made for, if the upstream works on it.
+    /// Returns the parent of the nested call `id`; `None` if no running request is its parent.
     pub(crate) fn parent_of(&self, id: &str) -> Option<Work> {
         let (parent, _) = id.rsplit_once(SEPARATOR)?;
         self.lock().get(parent).map(|run| run.work)
     }
 
-    /// Notes that the call `id`, made for running work, was answered.
+    /// Counts an answered nested call for its parent, if `id` is one.
     pub(crate) fn answered(&self, id: &str) {
         let Some((parent, _)) = id.rsplit_once(SEPARATOR) else { return };
         if let Some(run) = self.lock().get_mut(parent) {
--- a/crates/traffic/src/admission/running/tests.rs
+++ b/crates/traffic/src/admission/running/tests.rs
@@ -1,4 +1,4 @@
-//! Which calls belong to work that the own upstream does.
+//! Tests of the attribution of nested calls to running requests.
 
 use policy::admission::Rank;
 
@@ -9,10 +9,9 @@
     assert_eq!(running.parent_of(id).is_some(), expect, "{id}");
 }
 
-/// Every call of a caller counts as one of the upstream's own, goes first and waits for long, since
-/// both come from the same address; under load nobody is served in time.
+/// Guards against calls of callers that are given the priority of nested calls.
 #[test]
-fn only_calls_made_for_running_work_are_the_upstream_s_own() {
+fn only_calls_for_a_running_request_are_nested() {
     let running = Registry::default();
     check(&running, "9c41.77", false);
     let entry = running.begin("9c41", Rank::default());
@@ -25,7 +24,7 @@
 }
 
 #[test]
-fn work_that_runs_twice_ends_twice() {
+fn a_request_that_runs_twice_is_registered_until_both_runs_end() {
     let running = Registry::default();
     let begin = || running.begin("9c41", Rank::default());
     let (first, second) = (begin(), begin());
@@ -35,9 +34,9 @@
     check(&running, "9c41.77", false);
 }
 
-/// The second check of a lookup is refused like any first one, and the first was made in vain.
+/// Guards against later nested calls that are ranked without regard to those already answered.
 #[test]
-fn work_knows_how_far_it_is() {
+fn a_parent_counts_its_answered_nested_calls() {
     let running = Registry::default();
     let rank = Rank { priority: 9, ..Rank::default() };
     let _entry = running.begin("9c41", rank);
--- a/crates/traffic/src/admission/semaphore.rs
+++ b/crates/traffic/src/admission/semaphore.rs
@@ -1,4 +1,4 @@
-//! A gate that tasks wait at: `policy::admission` put into effect.
+//! Asynchronous semaphore with a priority queue; `policy::admission` makes the decisions.
 
 use model::time::Time;
 use policy::{
@@ -19,14 +19,13 @@
 
 use crate::{clock::Clock, lock::lock};
 
-/// Longest time between two looks of a task that waits: a limit that begins or ends meanwhile has no
-/// event of its own.
+/// Maximum poll interval of a waiting task; the start or end of a warm-up limit wakes nobody.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Least time between two looks; timers are no finer.
+/// Minimum poll interval of a waiting task, the resolution of timers.
 const MIN_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// Slots, and the tasks that wait for one.
+/// A concurrency limit, and the tasks that wait for a slot.
 #[derive(Debug)]
 pub(crate) struct Semaphore {
     clock: Clock,
@@ -34,37 +33,37 @@
     queue: Mutex<Queue>,
 }
 
-/// The decision, and how to tell those that wait.
+/// Admission state, and the channels to waiting tasks.
 #[derive(Debug)]
 struct Queue {
     gate: Gate,
     waiters: HashMap<Ticket, oneshot::Sender<Verdict>>,
 }
 
-/// How a task's waiting ends before its time is over.
+/// Result that a waiting task is woken with.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Verdict {
-    /// A slot is taken for it.
+    /// The task holds a slot.
     Granted,
-    /// Its work must not be done here.
+    /// The data centre is evacuated; the work must not run here.
     Rejected,
 }
 
-/// A held slot, freed when dropped, also when the task is cancelled.
+/// A held slot, released on drop, including cancellation of the task.
 #[derive(Debug)]
 pub(crate) struct Permit {
     semaphore: Arc<Semaphore>,
     ticket: Ticket,
-    /// How long the work took, if it was done.
+    /// Duration of the work, if it was done.
     pub(crate) service_time: Option<Duration>,
 }
 
 impl Queue {
-    /// Tells waiting tasks that their slots are taken.
+    /// Wakes the tasks that were granted a slot.
     fn wake(&mut self, granted: &[Ticket]) {
         for ticket in granted {
             if let Some(waiter) = self.waiters.remove(ticket) {
-                // A waiting task removes itself under the lock before it drops its receiver.
+                // The receiver is alive: a waiting task deregisters under this lock before dropping it.
                 let _ = waiter.send(Verdict::Granted);
             }
         }
@@ -77,7 +76,7 @@
         Arc::new(Semaphore { clock, tickets: AtomicU64::new(0), queue: Mutex::new(queue) })
     }
 
-    /// Waits for a slot no longer than `rank` and `deadline` allow.
+    /// Waits for a slot, at most as long as `rank` and `deadline` allow.
     pub(crate) async fn acquire(
         self: &Arc<Self>,
         rank: Rank,
@@ -110,7 +109,7 @@
         }
     }
 
-    /// Lets no more calls through than `limit` says; none where the upstream is warm.
+    /// Sets the rate limit of a cold upstream; `None` removes it.
     pub(crate) fn set_warm_up(&self, limit: Option<Limit>, now: Time) {
         let mut queue = self.lock();
         match limit {
@@ -119,7 +118,7 @@
         }
     }
 
-    /// Returns when a task that waits looks whether somebody gets a token that no finished call passes on.
+    /// Returns when a waiting task should check for tokens that became available without a release.
     fn next_poll(&self, now: Time) -> Time {
         let token = self.lock().gate.next_token(now);
         token.map_or(now + POLL_INTERVAL, |at| {
@@ -127,35 +126,35 @@
         })
     }
 
-    /// Wakes the tasks for which there are slots and tokens.
+    /// Grants free slots and tokens to waiting tasks.
     fn grant_ready(&self) {
         let mut queue = self.lock();
         let granted = queue.gate.release(self.clock.now());
         queue.wake(&granted);
     }
 
-    /// Refuses every task that waits: its work must not be done here.
+    /// Rejects every waiting task, for an evacuation.
     pub(crate) fn reject_waiting(&self) {
         let mut queue = self.lock();
         for (ticket, waiter) in std::mem::take(&mut queue.waiters) {
             queue.gate.cancel(ticket);
-            // A waiting task removes itself under this lock before it drops its receiver.
+            // The receiver is alive: a waiting task deregisters under this lock before dropping it.
             let _ = waiter.send(Verdict::Rejected);
         }
     }
 
-    /// Tells whether a task would be let in or could wait now.
+    /// Returns whether a task would now be admitted or queued.
     pub(crate) fn admits(&self, rank: Rank, deadline: Time, queue_limit: usize) -> bool {
         self.lock().gate.admits(rank, self.clock.now(), deadline, queue_limit)
     }
 
-    /// Returns what is held and what waits.
+    /// Returns the number of held slots and of waiting tasks.
     pub(crate) fn load(&self) -> Load {
         let queue = self.lock();
         Load { busy: queue.gate.busy(), waiting: queue.gate.waiting(), bodies: 0 }
     }
 
-    /// Sets the number of slots.
+    /// Sets the number of slots and wakes tasks that fit.
     pub(crate) fn resize(&self, slots: usize) {
         let mut queue = self.lock();
         if queue.gate.slots() == slots {
@@ -169,8 +168,7 @@
         Permit { semaphore: self.clone(), ticket, service_time: None }
     }
 
-    /// The waiter is registered under the same lock as the decision to wait, so that a slot that
-    /// is freed in between cannot miss it.
+    /// Requests admission and registers a waiter under the same lock, so that no release is missed.
     fn enqueue(
         &self,
         ticket: Ticket,
@@ -187,14 +185,13 @@
         (entry, receiver)
     }
 
-    /// Frees the slot of `ticket` and wakes the next task that waits.
+    /// Releases the slot of `ticket` and wakes the next waiting task.
     fn finish(&self, ticket: Ticket, service_time: Option<Duration>) {
         let mut queue = self.lock();
         let now = self.clock.now();
         let mut next = queue.gate.finish(ticket, now, service_time);
         while let Some(ticket) = next {
-            // A waiting task removes itself under this lock before it drops its receiver, so the
-            // receiver of a waiter found here is alive.
+            // The receiver is alive: a waiting task deregisters under this lock before dropping it.
             if let Some(waiter) = queue.waiters.remove(&ticket) {
                 let _ = waiter.send(Verdict::Granted);
                 return;
@@ -203,10 +200,8 @@
         }
     }
 
-    /// Forgets a task that waits no longer; returns whether it had not been given a slot.
-    ///
-    /// A waiter is removed when its slot is granted, so a missing one means that the task holds a
-    /// slot, which must be freed.
+    /// Deregisters a waiting task; returns `false` if it was already granted a slot, which the caller
+    /// must then release.
     fn cancel(&self, ticket: Ticket) -> bool {
         let mut queue = self.lock();
         queue.gate.cancel(ticket);
@@ -224,12 +219,12 @@
     }
 }
 
-/// A place in the queue, given up when dropped before a slot was taken.
+/// A queued task; dropping it before it is woken removes it from the queue.
 struct Waiter {
     semaphore: Arc<Semaphore>,
     ticket: Ticket,
     verdict: oneshot::Receiver<Verdict>,
-    /// Whether the verdict was taken.
+    /// Whether the verdict was received.
     resolved: bool,
 }
 
@@ -239,7 +234,7 @@
             return;
         }
         if self.verdict.try_recv() == Ok(Verdict::Granted) {
-            // The slot was granted in the moment in which the task gave up.
+            // The slot was granted concurrently with the cancellation.
             self.semaphore.finish(self.ticket, None);
         }
     }
--- a/crates/traffic/src/admission/semaphore/tests.rs
+++ b/crates/traffic/src/admission/semaphore/tests.rs
@@ -1,4 +1,4 @@
-//! Tasks that wait for a slot.
+//! Tests of queueing, rejection and warm-up tokens.
 
 use policy::outcome::Outcome;
 use tokio::{runtime::Builder, task::yield_now};
@@ -11,9 +11,9 @@
     clock.now() + Duration::from_secs(1)
 }
 
-/// Guards against a slot that is lost, or counted twice, with the tasks that an evacuation turns away.
+/// Guards against slots that leak or are released twice when an evacuation rejects waiting tasks.
 #[test]
-fn tasks_that_are_turned_away_leave_the_slots_as_they_are() {
+fn rejected_tasks_do_not_change_the_held_slots() {
     let runtime = Builder::new_current_thread().enable_all().build().expect("a runtime starts");
     runtime.block_on(async {
         let clock = Clock::default();
@@ -29,7 +29,7 @@
         }
         semaphore.reject_waiting();
         for task in waiting {
-            let outcome = task.await.expect("it ends").expect_err("it is turned away");
+            let outcome = task.await.expect("it ends").expect_err("it is rejected");
             assert!(matches!(outcome, Outcome::NotRun(Cause::Evacuated, _)), "{outcome:?}");
         }
         assert_eq!((semaphore.load().busy, semaphore.load().waiting), (1, 0));
@@ -39,9 +39,9 @@
     });
 }
 
-/// Guards against a task that waits for a token until its time is over, with no call to pass one on.
+/// Guards against a task that never sees a new token because no other call finishes.
 #[test]
-fn a_task_gets_its_token_without_any_other_call() {
+fn a_waiting_task_gets_a_token_without_other_calls() {
     let runtime = Builder::new_current_thread().enable_all().build().expect("a runtime starts");
     runtime.block_on(async {
         let clock = Clock::default();
--- a/crates/traffic/src/admission/transfer.rs
+++ b/crates/traffic/src/admission/transfer.rs
@@ -1,10 +1,8 @@
-//! Large bodies cross a slow link one after the other, and only if they will be taken.
+//! Schedules transfers of large request bodies over the instance's link.
 //!
-//! Pattern: uploads of a hundred kilobytes come to instances whose links carry five megabits a
-//! second. Ten at once keep the link busy for two seconds, and every small call to the same
-//! instance waits behind them; those that are refused in the end have crossed for nothing. So an
-//! entry node asks before it sends a large body. The serving node answers at once if it would refuse
-//! the call, and otherwise when it is the body's turn.
+//! Concurrent large uploads delay small calls on a slow link, and a refused call wastes its transfer.
+//! So an entry node first asks for a grant. The serving node refuses at once if it would refuse the
+//! call, and otherwise grants the transfer when the link is free.
 
 use model::time::Time;
 use policy::{admission::Rank, outcome::Outcome, transfer};
@@ -20,13 +18,13 @@
     lock::lock,
 };
 
-/// Most bodies that wait for their turn.
+/// Maximum number of transfers that wait for a grant.
 const QUEUE_LIMIT: usize = 16;
 
-/// How long a turn is kept for an entry node that does not come.
+/// Time after which an unused grant expires.
 const GRANT_TTL: Duration = Duration::from_secs(2);
 
-/// Turns given, and who waits for one.
+/// Outstanding grants, and the queue of transfers that wait for one.
 #[derive(Debug)]
 pub(crate) struct Transfers {
     clock: Clock,
@@ -34,7 +32,7 @@
     grants: Mutex<HashMap<u64, Grant>>,
 }
 
-/// A turn that was given.
+/// Permission to transfer one body.
 #[derive(Debug)]
 pub(crate) struct Grant {
     permit: Permit,
@@ -42,13 +40,13 @@
 }
 
 impl Transfers {
-    /// Creates turns for a link of `link_mbps`; 0 stands for a fast one.
+    /// Creates the scheduler of a link of `link_mbps` Mbit/s; 0 if the speed is unknown.
     pub(crate) fn new(clock: Clock, link_mbps: u32) -> Self {
         let semaphore = Semaphore::new(clock, transfer::lanes(link_mbps));
         Transfers { clock, semaphore, grants: Mutex::default() }
     }
 
-    /// Waits for a turn and keeps it under the number `ticket`.
+    /// Waits for a grant and stores it under `ticket`.
     pub(crate) async fn reserve(
         &self,
         ticket: u64,
@@ -61,26 +59,26 @@
         Ok(())
     }
 
-    /// Takes the turn of `ticket`; none where it was kept for too long.
+    /// Removes and returns the grant of `ticket`; `None` if it has expired.
     pub(crate) fn redeem(&self, ticket: u64) -> Option<Grant> {
         self.lock().remove(&ticket)
     }
 
-    /// Ends a turn whose body has arrived.
+    /// Releases the grant of a body that has arrived.
     ///
-    /// The time that it took is what the next ones are told to expect: without it, those that would
-    /// have to wait for too long are not turned away before they have waited.
+    /// Its duration feeds the estimate of the queueing time, by which transfers that would start too
+    /// late are refused at once.
     pub(crate) fn finish(&self, mut grant: Grant) {
         grant.permit.service_time = Some(self.clock.now().since(grant.granted_at));
     }
 
-    /// Returns how many bodies cross or wait for their turn.
+    /// Returns the number of transfers in progress or waiting.
     pub(crate) fn pending(&self) -> usize {
         let load = self.semaphore.load();
         load.busy + load.waiting
     }
 
-    /// Gives up turns that nobody came for.
+    /// Releases grants that were not used in time.
     pub(crate) fn remove_expired(&self, now: Time) {
         self.lock().retain(|_, grant| grant.granted_at + GRANT_TTL > now);
     }
--- a/crates/traffic/src/call.rs
+++ b/crates/traffic/src/call.rs
@@ -1,4 +1,4 @@
-//! What the stages of a call hand on.
+//! A call, its request and its answer, as the stages of the data plane pass them on.
 
 use bytes::Bytes;
 use hyper::{
@@ -13,27 +13,27 @@
 
 use crate::{net::stream::Probe, record::Trace, wire};
 
-/// Longest text by which operators tell a request, in characters.
+/// Maximum length of a request's label in operator output, in characters.
 const MAX_LABEL_CHARS: usize = 160;
 
-/// What holds for a call by its route, or by its service's profile.
+/// Options of a call, from its route or from its service's profile.
 #[derive(Clone, Debug)]
 pub(crate) struct Options {
-    /// Whether it may run more than once.
+    /// Whether the call may run more than once.
     pub(crate) kind: Kind,
-    /// Longest time until the final answer, in ms.
+    /// Time until the final answer, in ms.
     pub(crate) timeout_ms: u64,
-    /// Most upstreams that it is sent to.
+    /// Maximum number of attempts, each at another upstream.
     pub(crate) attempts: u32,
-    /// Time within which an answer is worth most, in ms, if the route names one.
+    /// Latency objective of the route, in ms.
     pub(crate) objective_ms: Option<u64>,
-    /// Urgency among the calls of the service; 0 is the most urgent.
+    /// Priority among the calls of the service; 0 is the highest.
     pub(crate) priority: u8,
-    /// Name of the route; empty without one.
+    /// Name of the route; empty if the service was named directly.
     pub(crate) route: String,
 }
 
-/// A call with its whole request in hand.
+/// A call whose request was received completely.
 pub(crate) struct Call<'a> {
     pub(crate) service: &'a str,
     pub(crate) profile: &'a Profile,
@@ -41,9 +41,9 @@
     pub(crate) payload: Payload,
     pub(crate) received: Time,
     pub(crate) deadline: Time,
-    /// When an answer becomes late, if its route names an objective.
+    /// End of the latency objective, if the route has one.
     pub(crate) due: Option<Time>,
-    /// By when its body must begin to cross if it is large, if its route names an objective.
+    /// Latest start of the transfer of a large body, if the route has a latency objective.
     pub(crate) transfer_by: Option<Time>,
     pub(crate) rank: Rank,
     pub(crate) origin: Probe,
@@ -56,29 +56,29 @@
     }
 }
 
-/// A call that is offered to this node's upstream.
+/// One attempt of a call at the upstream of a serving node.
 #[derive(Clone, Debug)]
 pub(crate) struct Offer {
     pub(crate) payload: Payload,
-    /// When its head was read.
+    /// When the head of the request was read.
     pub(crate) received: Time,
     pub(crate) deadline: Time,
     pub(crate) kind: Kind,
-    /// Its urgency.
+    /// Position in the admission queue.
     pub(crate) rank: Rank,
-    /// Incarnation of the node that it is meant for.
+    /// Incarnation of the intended serving node.
     pub(crate) incarnation: u64,
-    /// Identity that the upstream must confirm, if it was listed with one.
+    /// Identity that the upstream must confirm, if it is listed with one.
     pub(crate) identity: Option<Arc<str>>,
-    /// When the life of the upstream that it is meant for began, in ms of Unix time, if known.
+    /// Start of the intended upstream process, in ms of Unix time, if known.
     pub(crate) started_ms: Option<u64>,
-    /// The connection that it came on.
+    /// Connection that the request arrived on.
     pub(crate) origin: Probe,
-    /// Identifies the attempt.
+    /// Id of the attempt.
     pub(crate) id: u64,
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Debug)]
 pub(crate) struct Answer {
     pub(crate) head: Response<()>,
@@ -86,7 +86,7 @@
 }
 
 impl Answer {
-    /// Returns what is passed on of a whole answer.
+    /// Returns the response to pass on, without hop-by-hop headers and marked as answered.
     pub(crate) fn response(self) -> Response<wire::Body> {
         let (mut parts, ()) = self.head.into_parts();
         wire::strip(&mut parts.headers);
@@ -95,14 +95,14 @@
     }
 }
 
-/// A whole request in hand; cloning it shares the body.
+/// A completely received request; clones share the body.
 #[derive(Clone, Debug)]
 pub(crate) struct Payload {
     pub(crate) method: Method,
     pub(crate) path: Uri,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
-    /// What it asks for, once that was worked out.
+    /// Cached hash of what the request asks for.
     fingerprint: OnceLock<Fingerprint>,
 }
 
@@ -111,7 +111,7 @@
         Payload { method, path, headers, body, fingerprint: OnceLock::new() }
     }
 
-    /// Returns a request to send on.
+    /// Returns a copy of the request to forward.
     pub(crate) fn request(&self) -> Request<wire::Body> {
         let mut request = Request::new(wire::Body::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
@@ -120,9 +120,10 @@
         request
     }
 
-    /// Identifies what is asked for, whoever brings it, when and by which way: an attempt's id, its time left,
-    /// the service that it comes from and how its body was sent do not count. `service` is the one that is
-    /// named where there are no routes; the host is then any node's. A large body is gone through once only.
+    /// Returns a hash of what the request asks for, equal for all attempts and entry nodes.
+    ///
+    /// Headers such as the attempt's id, its remaining time and the caller's service are ignored.
+    /// Without routes, pass the named `service`, which replaces the host. The hash is computed once.
     pub(crate) fn fingerprint(&self, service: Option<&str>) -> Fingerprint {
         *self.fingerprint.get_or_init(|| self.compute_fingerprint(service))
     }
@@ -145,7 +146,7 @@
         Fingerprint(hash.digest())
     }
 
-    /// Returns what operators read of the request.
+    /// Returns method, host and path for operator output, truncated.
     pub(crate) fn label(&self) -> String {
         let text = format!("{} {}{}", self.method, wire::host(&self.headers), self.target());
         text.chars().take(MAX_LABEL_CHARS).collect()
--- a/crates/traffic/src/clock.rs
+++ b/crates/traffic/src/clock.rs
@@ -1,13 +1,12 @@
-//! The process's clock, as [`Time`] values.
+//! Monotonic clock of the process, as [`Time`] values.
 
 use model::time::Time;
 use rustix::time::{ClockId, clock_gettime};
 use std::time::Duration;
 
-/// A clock that starts with the process and goes on while the machine is suspended.
+/// A monotonic clock that starts at its creation and includes time in which the machine is suspended.
 ///
-/// The steady clock stands still in that time. A request that waited through it would seem to have
-/// all of its time left, and a payment that its caller has given up would be run.
+/// `CLOCK_MONOTONIC` stops during a suspension, so expired requests would seem to have time left.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     origin: Duration,
@@ -20,7 +19,7 @@
 }
 
 impl Clock {
-    /// Returns the present time.
+    /// Returns the time since the creation of the clock.
     pub fn now(&self) -> Time {
         Time::at(since_boot().saturating_sub(self.origin))
     }
--- a/crates/traffic/src/forward/receiver.rs
+++ b/crates/traffic/src/forward/receiver.rs
@@ -1,4 +1,4 @@
-//! Takes in offers of other nodes, and answers them.
+//! Receives offers from entry nodes and answers them.
 
 use bytes::Bytes;
 use hyper::{HeaderMap, Request, Response, header::HeaderValue, http::request::Parts};
@@ -22,7 +22,7 @@
     serving, wire,
 };
 
-/// Largest remaining time that a caller's header can name, in ms.
+/// Maximum remaining time that an offer can state, in ms.
 const DEADLINE_LIMIT_MS: u64 = 600_000;
 
 /// Answers an offer of an entry node.
@@ -35,7 +35,7 @@
     let id = wire::read_number(request.headers(), wire::ID);
     let result = take(proxy, request, origin, received).await;
     let mut response = match result {
-        Ok(answer) if answer.head.headers().contains_key(wire::TICKET) => given(answer),
+        Ok(answer) if answer.head.headers().contains_key(wire::TICKET) => grant_response(answer),
         Ok(answer) => answer.response(),
         Err(outcome) => wire::response(outcome, wire::Precision::Seconds),
     };
@@ -47,7 +47,7 @@
     response
 }
 
-/// Takes an offer in, and gives it a turn or runs it.
+/// Receives an offer, and runs it or grants its transfer.
 async fn take(
     proxy: &Arc<Proxy>,
     request: Request<Inbound>,
@@ -55,41 +55,41 @@
     received: Time,
 ) -> Result<Answer, Outcome> {
     let (head, incoming) = request.into_parts();
-    let stated =
-        read(&head.headers, received).map_err(|wire::Malformed| Cause::BadRequest.outcome())?;
+    let metadata = read_metadata(&head.headers, received)
+        .map_err(|wire::Malformed| Cause::BadRequest.outcome())?;
     let config = proxy.config();
-    // A node that holds no configuration yet cannot keep the profile's promises.
+    // Without a configuration, the limits of the profile are unknown.
     let service = config.service(&proxy.settings.service);
     let profile = service.map(|s| config.profile(s)).ok_or_else(|| Cause::Unreachable.outcome())?;
     let limit =
         if config.has_routes() { config.limits.body_bytes } else { profile.max_request_bytes };
-    let turn = match wire::read_number(&head.headers, wire::TICKET) {
+    let grant = match wire::read_number(&head.headers, wire::TICKET) {
         Ok(Some(ticket)) => proxy.transfers.redeem(ticket),
         _ => None,
     };
-    let reserves = head.headers.contains_key(wire::RESERVE);
+    let is_reservation = head.headers.contains_key(wire::RESERVE);
     let mut reserved = Reservation::new(&proxy.in_flight);
     if !reserved.extend(body::declared_length(&head.headers).unwrap_or(0), proxy.tuning().capacity)
     {
         return Err(Cause::Overloaded.outcome());
     }
-    let body = body::receive(incoming, limit, stated.deadline.since(received)).await;
+    let body = body::receive(incoming, limit, metadata.deadline.since(received)).await;
     let body = body.map_err(|_| Cause::BadRequest.outcome())?;
-    let mut offer = offer(head, stated, body, origin, received);
-    if let Some(turn) = turn {
+    let mut offer = offer(head, metadata, body, origin, received);
+    if let Some(grant) = grant {
         let start_by = transfer::start_crossed(proxy.clock.now(), offer.deadline);
         offer.rank = Rank { start_by: Some(start_by), ..offer.rank };
-        proxy.transfers.finish(turn);
+        proxy.transfers.finish(grant);
     }
-    if reserves {
+    if is_reservation {
         let ticket = serving::reserve(proxy, profile, &offer).await?;
-        return Ok(turn_given(ticket));
+        return Ok(grant_answer(ticket));
     }
     serving::run(proxy, profile, offer).await
 }
 
-/// What an entry node states of a call that it offers.
-struct Stated {
+/// Metadata of an offer, from its headers.
+struct Metadata {
     id: u64,
     incarnation: u64,
     identity: Option<Arc<str>>,
@@ -99,12 +99,12 @@
     rank: Rank,
 }
 
-fn read(headers: &HeaderMap, received: Time) -> Result<Stated, wire::Malformed> {
+fn read_metadata(headers: &HeaderMap, received: Time) -> Result<Metadata, wire::Malformed> {
     let number = |name| wire::read_number(headers, name)?.ok_or(wire::Malformed);
     let (incarnation, id) = (number(wire::OFFER)?, number(wire::ID)?);
     let remaining = number(wire::DEADLINE)?;
     let idempotent = number(wire::IDEMPOTENT)? == 1;
-    Ok(Stated {
+    Ok(Metadata {
         id,
         incarnation,
         identity: wire::header_text(headers, wire::IDENTITY).map(Arc::from),
@@ -126,22 +126,22 @@
     })
 }
 
-fn offer(head: Parts, stated: Stated, body: Bytes, origin: Probe, received: Time) -> Offer {
-    let Stated { id, incarnation, identity, started_ms, deadline, kind, rank } = stated;
+fn offer(head: Parts, metadata: Metadata, body: Bytes, origin: Probe, received: Time) -> Offer {
+    let Metadata { id, incarnation, identity, started_ms, deadline, kind, rank } = metadata;
     let mut headers = head.headers;
     wire::strip(&mut headers);
     let payload = Payload::new(head.method, head.uri, headers, body);
     Offer { payload, received, deadline, kind, rank, incarnation, identity, started_ms, origin, id }
 }
 
-fn turn_given(ticket: u64) -> Answer {
+fn grant_answer(ticket: u64) -> Answer {
     let mut head = Response::new(());
     head.headers_mut().insert(wire::TICKET, wire::number(ticket));
     Answer { head, body: Bytes::new() }
 }
 
-/// Passes on a turn that was given.
-fn given(answer: Answer) -> Response<wire::Body> {
+/// Returns the response that carries a transfer grant.
+fn grant_response(answer: Answer) -> Response<wire::Body> {
     let mut response = answer.head.map(|()| wire::Body::default());
     response.headers_mut().insert(wire::OUTCOME, HeaderValue::from_static(wire::ANSWERED));
     response
--- a/crates/traffic/src/forward/sender.rs
+++ b/crates/traffic/src/forward/sender.rs
@@ -1,4 +1,4 @@
-//! One offer of a call to the node beside an upstream.
+//! Sends one offer of a call to the serving node of an upstream.
 
 use fleet::view::Upstream;
 use hyper::{Request, Response, header::HeaderValue};
@@ -24,13 +24,13 @@
     serving, wire,
 };
 
-/// Offers the call to one upstream and waits for its answer no longer than until `patience`.
+/// Offers the call to one upstream and waits for its answer until `give_up_at` at most.
 pub(crate) async fn attempt(
     proxy: &Arc<Proxy>,
     call: &Call<'_>,
     upstream: &Upstream,
     id: u64,
-    patience: Time,
+    give_up_at: Time,
 ) -> Result<Answer, Outcome> {
     let now = proxy.clock.now();
     let offer = Offer {
@@ -46,7 +46,7 @@
         id,
     };
     if proxy.is_colocated(upstream) {
-        let work = timeout(patience.since(now), serving::run(proxy, call.profile, offer));
+        let work = timeout(give_up_at.since(now), serving::run(proxy, call.profile, offer));
         let result = work.await.unwrap_or_else(|_| Err(of_loss(Step::Run, Loss::Silent)));
         let (load, now) = (proxy.load(), proxy.clock.now());
         proxy.services.with(call.service, |s| s.record(upstream, now).hear_load(load, now));
@@ -54,29 +54,29 @@
     }
     let mut ticket = None;
     if proxy.settings.incarnation.is_none() && offer.payload.body.len() >= placement::LARGE {
-        ticket = Some(reserve(proxy, call, upstream, &offer, patience).await?);
+        ticket = Some(reserve(proxy, call, upstream, &offer, give_up_at).await?);
     }
-    carry(proxy, call, upstream, &offer, &Parcel::Offer(ticket), patience).await
+    deliver(proxy, call, upstream, &offer, &Message::Offer(ticket), give_up_at).await
 }
 
-/// What is sent to a serving node.
-enum Parcel {
-    /// The call, with the number of the turn that its body was given, if it needed one.
+/// Kind of message to a serving node.
+enum Message {
+    /// The call, with the ticket of its transfer grant if its body is large.
     Offer(Option<u64>),
-    /// The question whether the call would be taken and when its body may come.
-    Question,
+    /// A request for a transfer grant, without the body.
+    Reservation,
 }
 
-/// Asks for a turn to send a large body.
+/// Requests a grant to transfer a large body; returns its ticket.
 async fn reserve(
     proxy: &Arc<Proxy>,
     call: &Call<'_>,
     upstream: &Upstream,
     offer: &Offer,
-    patience: Time,
+    give_up_at: Time,
 ) -> Result<u64, Outcome> {
-    let answer = carry(proxy, call, upstream, offer, &Parcel::Question, patience).await;
-    // Whatever becomes of a question, the call itself has not been sent.
+    let answer = deliver(proxy, call, upstream, offer, &Message::Reservation, give_up_at).await;
+    // The call itself was not sent, so its outcome is never unknown here.
     let answer = answer.map_err(|outcome| match outcome {
         Outcome::Unknown(_) => Cause::Unreachable.outcome(),
         not_run => not_run,
@@ -87,47 +87,49 @@
     }
 }
 
-/// Sends a parcel on a kept connection, or on a new one.
-async fn carry(
+/// Sends a message on a pooled connection, or on a new one.
+async fn deliver(
     proxy: &Arc<Proxy>,
     call: &Call<'_>,
     upstream: &Upstream,
     offer: &Offer,
-    parcel: &Parcel,
-    patience: Time,
+    message: &Message,
+    give_up_at: Time,
 ) -> Result<Answer, Outcome> {
     let limit = Duration::from_millis(call.profile.idle_ms);
     if let Some(connection) = proxy.pool.take(upstream.traffic, limit, offer.kind) {
-        match send(proxy, call, upstream, offer, parcel, connection, patience).await {
+        match send(proxy, call, upstream, offer, message, connection, give_up_at).await {
             Err(None) => {}
-            result => return result.map_err(settled),
+            result => return result.map_err(or_connect_failure),
         }
     }
     let time = proxy.tuning().connect_timeout + transfer::backlog(proxy.settings.link_mbps);
-    let time = time.min(patience.since(proxy.clock.now()));
+    let time = time.min(give_up_at.since(proxy.clock.now()));
     let opened = proxy.pool.open(upstream.traffic, time).await;
     let connection = opened.map_err(|_| of_loss(Step::Connect, Loss::Closed))?;
-    send(proxy, call, upstream, offer, parcel, connection, patience).await.map_err(settled)
+    send(proxy, call, upstream, offer, message, connection, give_up_at)
+        .await
+        .map_err(or_connect_failure)
 }
 
-/// A failure to send of which nothing was written counts as one to connect.
-fn settled(outcome: Option<Outcome>) -> Outcome {
+/// Maps a failure before anything was written to a failure to connect.
+fn or_connect_failure(outcome: Option<Outcome>) -> Outcome {
     outcome.unwrap_or_else(|| of_loss(Step::Connect, Loss::Closed))
 }
 
-/// Offers the call to a serving node; an error without outcome means that nothing was written.
+/// Sends a message on `connection`; an error without an outcome means that nothing was written.
 async fn send(
     proxy: &Arc<Proxy>,
     call: &Call<'_>,
     upstream: &Upstream,
     offer: &Offer,
-    parcel: &Parcel,
+    message: &Message,
     mut connection: Connection,
-    patience: Time,
+    give_up_at: Time,
 ) -> Result<Answer, Option<Outcome>> {
     let now = proxy.clock.now();
-    let request = offer_request(call, offer, parcel, now);
-    let time = patience.since(now);
+    let request = offer_request(call, offer, message, now);
+    let time = give_up_at.since(now);
     let exchange = async {
         let head = match connection.send(request).await {
             Ok(head) => head,
@@ -147,7 +149,7 @@
     result
 }
 
-/// Receives a serving node's answer whole and reads the outcome it tells.
+/// Receives a serving node's answer completely and reads its outcome.
 async fn receive(
     proxy: &Proxy,
     call: &Call<'_>,
@@ -181,17 +183,17 @@
 fn offer_request(
     call: &Call<'_>,
     offer: &Offer,
-    parcel: &Parcel,
+    message: &Message,
     now: Time,
 ) -> Request<wire::Body> {
     let remaining = offer.deadline.since(now);
     let mut request = offer.payload.request();
-    match parcel {
-        Parcel::Offer(None) => {}
-        Parcel::Offer(Some(ticket)) => {
+    match message {
+        Message::Offer(None) => {}
+        Message::Offer(Some(ticket)) => {
             request.headers_mut().insert(wire::TICKET, wire::number(*ticket));
         }
-        Parcel::Question => {
+        Message::Reservation => {
             let bytes = offer.payload.body.len() as u64;
             *request.body_mut() = wire::Body::default();
             request.headers_mut().insert(wire::RESERVE, wire::number(bytes));
@@ -209,9 +211,9 @@
     if offer.rank.line == Line::Upstreams {
         headers.insert(wire::NESTED, wire::number(1));
     }
-    let start_by = match parcel {
-        Parcel::Offer(_) => offer.rank.start_by,
-        Parcel::Question => call.transfer_by.or(offer.rank.start_by),
+    let start_by = match message {
+        Message::Offer(_) => offer.rank.start_by,
+        Message::Reservation => call.transfer_by.or(offer.rank.start_by),
     };
     if let Some(start_by) = start_by {
         headers.insert(wire::START, wire::number(start_by.since(now).as_millis() as u64));
--- a/crates/traffic/src/lib.rs
+++ b/crates/traffic/src/lib.rs
@@ -1,9 +1,9 @@
-//! Carries calls: from callers to the entry node, on to the serving node, to the upstream and back.
+//! Data plane: forwards calls from callers through the entry node and the serving node to an
+//! upstream, and returns the answers.
 //!
-//! This crate exists to put the decisions of `policy` into effect on sockets. It reads immutable
-//! snapshots of configuration and fleet and never waits for control state; it must not know the
-//! platform or the messages between control threads. The headers in [`wire`] are an API border,
-//! towards callers and between nodes; the rest is not.
+//! Applies the decisions of `policy` to sockets. It reads immutable snapshots of configuration and
+//! membership, never blocks on the control plane, and depends neither on the platform nor on control
+//! messages. Only the headers in [`wire`] are a stable interface.
 
 mod admission;
 mod call;
--- a/crates/traffic/src/net.rs
+++ b/crates/traffic/src/net.rs
@@ -1,4 +1,4 @@
-//! Streams, connections that are kept, and bodies taken in whole.
+//! TCP streams, a connection pool, and complete reception of bodies.
 
 pub(crate) mod body;
 pub(crate) mod pool;
--- a/crates/traffic/src/net/body.rs
+++ b/crates/traffic/src/net/body.rs
@@ -1,4 +1,4 @@
-//! Taking in bodies whole, within bounds of size and time.
+//! Receives complete bodies, limited in size and time.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Either, Empty, LengthLimitError, Limited};
@@ -8,24 +8,23 @@
 };
 use std::{error::Error, time::Duration};
 
-/// The body of a request: as it comes, or none where the request was read along.
+/// Body of an incoming request; empty if the request was read ahead for pipelining.
 pub(crate) type Inbound = Either<Incoming, Empty<Bytes>>;
 
-/// Why a body was not taken.
+/// Why a body was not received.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Fault {
-    /// It is larger than allowed.
+    /// The body exceeds the size limit.
     TooLarge,
-    /// It did not arrive in time.
+    /// The body did not arrive in time.
     TimedOut,
-    /// It broke off before its declared end.
+    /// The body ended before its declared end.
     Truncated,
 }
 
-/// Receives `body` whole.
+/// Receives `body` completely, up to `limit` bytes and within `time`.
 ///
-/// A body that breaks off is an error, never a shorter body: `hyper` compares it with the declared
-/// length, or looks for the last chunk. Half of a sales file must not look like a file.
+/// A truncated body is an error: `hyper` checks the declared length or the last chunk.
 pub(crate) async fn receive<B>(body: B, limit: usize, time: Duration) -> Result<Bytes, Fault>
 where
     B: Body<Data = Bytes>,
@@ -40,7 +39,7 @@
     }
 }
 
-/// Returns the declared length of a body, if there is one.
+/// Returns the value of `Content-Length`, if present and valid.
 pub(crate) fn declared_length(headers: &hyper::HeaderMap) -> Option<usize> {
     headers.get(header::CONTENT_LENGTH)?.to_str().ok()?.parse().ok()
 }
--- a/crates/traffic/src/net/pool.rs
+++ b/crates/traffic/src/net/pool.rs
@@ -1,4 +1,4 @@
-//! Kept connections to nodes and to the upstream, one call in flight on each.
+//! Connection pool for nodes and the upstream, with one call in flight per connection.
 
 use http_body_util::Full;
 use hyper::{
@@ -27,27 +27,27 @@
     wire::Body,
 };
 
-/// Most idle connections kept to one address.
+/// Maximum number of idle connections per address.
 const MAX_IDLE: usize = 64;
 
-/// Longest time for which an idle connection is kept at all.
+/// Time after which an idle connection is closed.
 const MAX_IDLE_TIME: Duration = Duration::from_secs(60);
 
-/// Connections by address.
+/// Idle connections by address.
 #[derive(Debug, Default)]
 pub(crate) struct Pool {
     clock: Clock,
     idle: Mutex<HashMap<SocketAddr, Vec<Idle>>>,
 }
 
-/// An open connection without a call on it.
+/// An idle connection.
 #[derive(Debug)]
 struct Idle {
     connection: Connection,
     since: Time,
 }
 
-/// An open connection. Dropping it closes it at once, which cancels a call in flight on it.
+/// An open connection. Dropping it closes it and so cancels a call in flight.
 #[derive(Debug)]
 pub(crate) struct Connection {
     sender: SendRequest<Body>,
@@ -55,7 +55,7 @@
     task: TaskGuard,
 }
 
-/// Ends the task that drives a connection.
+/// Aborts the task that drives a connection on drop.
 #[derive(Debug)]
 struct TaskGuard(AbortHandle);
 
@@ -65,21 +65,21 @@
     }
 }
 
-/// Why a request got no answer's head.
+/// Why no response head was received.
 #[derive(Debug)]
 pub(crate) enum SendError {
-    /// Not one byte of it was written.
+    /// No byte of the request was written.
     Unsent,
-    /// It may have been read.
+    /// The request may have been read.
     Broken,
 }
 
-/// Why there is no connection.
+/// Why a connection could not be opened.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum ConnectError {
-    /// Nobody listens at the address.
+    /// The address refused the connection.
     Refused,
-    /// Somebody may.
+    /// Any other error, or a timeout.
     Failed,
 }
 
@@ -93,7 +93,8 @@
 }
 
 impl Pool {
-    /// Takes a kept connection to `address` that may carry a call, if there is one.
+    /// Takes a usable idle connection to `address`. `limit` is the maximum idle time for calls that
+    /// must not run twice.
     pub(crate) fn take(
         &self,
         address: SocketAddr,
@@ -103,7 +104,7 @@
         let now = self.clock.now();
         let mut idle = self.lock();
         let kept = idle.get_mut(&address)?;
-        // The most recently used one first: the others grow old and are closed.
+        // Most recently used first, so that surplus connections expire.
         while let Some(candidate) = kept.pop() {
             let fresh = connection::decide(now.since(candidate.since), limit, kind) == Use::Reuse;
             if fresh && candidate.connection.is_usable() {
@@ -113,7 +114,7 @@
         None
     }
 
-    /// Opens a connection to `address`, or tells why that failed or took longer than `time`.
+    /// Opens a connection to `address` within `time`.
     pub(crate) async fn open(
         &self,
         address: SocketAddr,
@@ -124,13 +125,13 @@
         let probe = stream.probe();
         let (sender, driver) = http1::handshake(stream).await.map_err(|_| ConnectError::Failed)?;
         let task = tokio::spawn(async move {
-            // An error ends the connection; the call on it learns of it by its own channel.
+            // The call in flight receives the error through its own channel.
             let _ = driver.await;
         });
         Ok(Connection { sender, probe, task: TaskGuard(task.abort_handle()) })
     }
 
-    /// Keeps a connection whose answer was received whole.
+    /// Returns a connection to the pool, after its answer was received completely.
     pub(crate) fn put(&self, address: SocketAddr, connection: Connection) {
         let now = self.clock.now();
         let mut idle = self.lock();
@@ -143,13 +144,13 @@
 
     /// Closes every idle connection to `address`.
     ///
-    /// When a call on a kept connection gets no answer, whatever forgot that connection has most
-    /// likely forgotten the others to the same place as well; only a new one proves the contrary.
+    /// Used after a timeout on a pooled connection: a middlebox that dropped its state has probably
+    /// dropped that of the others too.
     pub(crate) fn close_idle(&self, address: SocketAddr) {
         self.lock().remove(&address);
     }
 
-    /// Closes connections that were idle for too long.
+    /// Closes connections that are closed by the peer or idle for too long.
     pub(crate) fn remove_expired(&self) {
         let now = self.clock.now();
         self.lock().retain(|_, kept| {
@@ -164,7 +165,7 @@
 }
 
 impl Connection {
-    /// Sends a request and returns the answer's head.
+    /// Sends a request and returns the head of the response.
     pub(crate) async fn send(
         &mut self,
         request: Request<Full<bytes::Bytes>>,
@@ -173,15 +174,14 @@
             return Err(SendError::Unsent);
         }
         self.sender.try_send_request(request).await.map_err(|mut e| {
-            // The library hands the request back only if it has not begun to write it.
+            // `hyper` returns the request only if it has not begun to write it.
             if e.take_message().is_some() { SendError::Unsent } else { SendError::Broken }
         })
     }
 
-    /// Tells whether the other side has neither closed the connection nor sent anything unasked.
+    /// Returns whether the connection is open and has no unread bytes.
     ///
-    /// Bytes that wait here belong to an earlier request, such as a doubled answer; the next
-    /// request would take them for its own.
+    /// Unread bytes, such as a duplicate response, would be taken for the answer of the next request.
     fn is_usable(&self) -> bool {
         !self.sender.is_closed()
             && !self.task.0.is_finished()
--- a/crates/traffic/src/net/stream.rs
+++ b/crates/traffic/src/net/stream.rs
@@ -1,9 +1,7 @@
-//! A TCP stream that can be looked at while `hyper` owns it.
+//! A TCP stream whose socket can be inspected while `hyper` owns the stream.
 //!
-//! The claim must know at its very moment whether the other side still wants an answer. `hyper`
-//! notices a closed connection only when it next reads, which after a pause of the process may be
-//! later than the request that waited in the same buffer. So the socket is shared, and
-//! [`Probe`] looks at it directly.
+//! `hyper` notices a closed connection only at its next read, which may come after a buffered request
+//! is processed. [`Probe`] checks the shared socket directly, just before a call runs.
 
 use bytes::BytesMut;
 use hyper::rt::{Read, ReadBufCursor, Write};
@@ -19,38 +17,35 @@
 };
 use tokio::net::TcpStream;
 
-/// Bytes read from a socket at once; larger reads save system calls but cost memory per call.
+/// Read buffer, in bytes; trades system calls against memory per call.
 const CHUNK: usize = 16 * 1024;
 
-/// Time after which bytes that the other side has not confirmed end a connection.
-///
-/// Three retransmissions of a lost packet fit into it, so that a link that loses a few packets in a
-/// hundred cuts no connection.
+/// Time after which unacknowledged bytes close a connection; leaves time for three retransmissions.
 const ACK_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A stream for `hyper`.
+/// A TCP stream for `hyper`.
 pub(crate) struct Stream {
     socket: Arc<TcpStream>,
-    /// Who reads along.
+    /// Observer of the bytes read.
     tap: Option<Arc<dyn Tap>>,
 }
 
-/// Whoever reads along on a stream, and may read before its owner does.
+/// Observes the bytes read from a stream, and may read ahead of its owner.
 pub(crate) trait Tap: Send + Sync {
-    /// Reads along bytes that the owner is given.
+    /// Observes bytes that are passed to the owner.
     fn observe(&self, bytes: &[u8]);
 
-    /// Returns up to `room` of the bytes that were read before the owner asked for them.
+    /// Removes and returns up to `room` bytes that were read ahead; `None` if there are none.
     fn take_prefetched(&self, room: usize) -> Option<BytesMut>;
 }
 
-/// A look at a stream that somebody else reads and writes.
+/// A handle that inspects the socket of a stream owned elsewhere.
 #[derive(Clone, Debug)]
 pub(crate) struct Probe {
     socket: Arc<TcpStream>,
 }
 
-/// What a look at a socket shows.
+/// State of a socket.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum SocketState {
     /// Open, with nothing to read.
@@ -66,9 +61,8 @@
     pub(crate) async fn connect(address: SocketAddr) -> io::Result<Stream> {
         let stream = Stream::new(TcpStream::connect(address).await?)?;
         let socket = SockRef::from(&*stream.socket);
-        // Something between the two ends can forget a connection, or a data centre is cut off:
-        // bytes vanish without an error. Unanswered bytes and probes end the connection within
-        // about a second, and the call on it learns that nobody is there.
+        // A middlebox can drop its connection state, or a network partition can swallow packets
+        // without an error. Unacknowledged bytes or keepalive probes then close the connection.
         socket.set_tcp_user_timeout(Some(ACK_TIMEOUT))?;
         socket.set_tcp_keepalive(
             &TcpKeepalive::new().with_time(ACK_TIMEOUT).with_interval(ACK_TIMEOUT),
@@ -76,23 +70,23 @@
         Ok(stream)
     }
 
-    /// Takes over an open socket.
+    /// Wraps an open socket.
     pub(crate) fn new(socket: TcpStream) -> io::Result<Stream> {
         socket.set_nodelay(true)?;
         Ok(Stream { socket: Arc::new(socket), tap: None })
     }
 
-    /// Lets `tap` read along what comes from now on.
+    /// Passes all bytes read from now on to `tap`.
     pub(crate) fn set_tap(&mut self, tap: Arc<dyn Tap>) {
         self.tap = Some(tap);
     }
 
-    /// Ends the own side; the other side reads everything that was written and then the end.
+    /// Shuts down the write side, after everything that was written.
     pub(crate) fn shutdown(&self) -> io::Result<()> {
         SockRef::from(&*self.socket).shutdown(std::net::Shutdown::Write)
     }
 
-    /// Waits for bytes and drops them; returns whether there may be more.
+    /// Reads and discards bytes; returns `false` at the end of the stream.
     pub(crate) async fn discard(&self) -> bool {
         let mut chunk = [0; CHUNK];
         loop {
@@ -107,16 +101,16 @@
         }
     }
 
-    /// Returns a probe of this stream.
+    /// Returns a probe of this stream's socket.
     pub(crate) fn probe(&self) -> Probe {
         Probe { socket: self.socket.clone() }
     }
 }
 
 impl Probe {
-    /// Waits for bytes and takes them off the socket; none where the other side has ended.
+    /// Reads bytes from the socket; `None` at the end of the stream or on an error.
     ///
-    /// Whoever owns the stream must be handed them before anything else is read.
+    /// The caller must pass them to the owner of the stream before it reads anything else.
     pub(crate) async fn read(&self, chunk: &mut [u8]) -> Option<usize> {
         loop {
             self.socket.readable().await.ok()?;
@@ -128,7 +122,7 @@
         }
     }
 
-    /// Looks at the socket without reading from it.
+    /// Returns the state of the socket without consuming bytes.
     pub(crate) fn socket_state(&self) -> SocketState {
         let mut byte = [MaybeUninit::uninit()];
         match SockRef::from(&*self.socket).peek(&mut byte) {
--- a/crates/traffic/src/proxy.rs
+++ b/crates/traffic/src/proxy.rs
@@ -1,4 +1,4 @@
-//! What all calls of a node share.
+//! State shared by all calls that a node proxies.
 
 mod colocated;
 pub(crate) mod crashes;
@@ -45,7 +45,7 @@
     record::{Log, events::Counters},
 };
 
-/// What all calls of a node share.
+/// State shared by all calls that a node proxies: configuration, upstreams, limits and records.
 pub struct Proxy {
     pub(crate) settings: Settings,
     pub(crate) clock: Clock,
@@ -56,7 +56,7 @@
     pub(crate) running: Registry,
     tuning: ArcSwap<Tuning>,
     config: ArcSwap<Snapshot>,
-    /// Highest revision of the configuration that this node holds or is going to.
+    /// Highest known revision of the configuration, held or still to be fetched.
     expected_revision: AtomicU64,
     view: ArcSwap<View>,
     watch: Mutex<pause::Watch>,
@@ -64,22 +64,22 @@
     pub(crate) lifecycle: Lifecycle,
     pub(crate) services: Services,
     pub(crate) estimates: Estimates,
-    /// Crashes of the own upstream.
+    /// Crashes of the colocated upstream.
     pub(crate) crashes: Crashes,
-    /// Requests that are not to be run.
+    /// Requests that must not run.
     quarantine: ArcSwap<Quarantine>,
-    /// The slots of the own upstream.
+    /// Concurrency limit of the colocated upstream.
     pub(crate) slots: Arc<Semaphore>,
-    /// Turns of large bodies on the own link.
+    /// Transfers of large bodies over this instance's link.
     pub(crate) transfers: Transfers,
     splits: Mutex<HashMap<String, Split>>,
-    /// Callers that were refused and may come back.
+    /// Refused callers that may retry.
     refused: Mutex<comeback::Register>,
     pub(crate) in_flight: Usage,
 }
 
 impl Proxy {
-    /// Creates the shared state; nothing is in force and no upstream is known yet.
+    /// Creates the state, with an empty configuration and no known upstreams.
     pub fn new(settings: Settings, clock: Clock, meter: Arc<Meter>) -> Arc<Self> {
         let tuning = settings.tuning;
         let slots = Semaphore::new(clock, settings.slots);
@@ -114,32 +114,32 @@
         })
     }
 
-    /// Works under `tuning` from now on.
+    /// Replaces the settings that may change at run time.
     pub fn set_tuning(&self, tuning: Tuning) {
         self.tuning.store(Arc::new(tuning));
     }
 
-    /// Returns the settings that may change.
+    /// Returns the settings that may change at run time.
     pub(crate) fn tuning(&self) -> Tuning {
         **self.tuning.load()
     }
 
-    /// Routes by `snapshot` from now on.
+    /// Replaces the configuration.
     pub fn set_config(&self, snapshot: Arc<Snapshot>) {
         self.config.store(snapshot);
     }
 
-    /// Takes note that `revision` is the highest that this node holds or is going to.
+    /// Sets the highest known revision of the configuration, held or still to be fetched.
     pub fn set_expected_revision(&self, revision: u64) {
         self.expected_revision.store(revision, Ordering::Relaxed);
     }
 
-    /// Returns the highest revision of the configuration that this node holds or is going to.
+    /// Returns the highest known revision of the configuration, held or still to be fetched.
     pub(crate) fn expected_revision(&self) -> u64 {
         self.expected_revision.load(Ordering::Relaxed)
     }
 
-    /// Routes to the upstreams of `view` from now on, and forgets what was seen of others.
+    /// Replaces the known upstreams, and discards the records of those that are gone.
     pub fn set_view(&self, view: Arc<View>) {
         let before = self.view.swap(view.clone());
         self.services.follow(&view, &before, self.clock.now());
@@ -147,48 +147,46 @@
             self.slots.resize(slots);
         }
         if colocated::is_evacuated(&view, &self.settings) {
-            // What waits here goes to another data centre at once, not when its turn comes.
+            // Queued calls move to another data centre at once.
             self.slots.reject_waiting();
         }
         if !colocated::is_same(&before, &view, &self.settings) {
-            // Connections to a process that has ended carry nothing: a payment sent on one would
-            // be lost, and nobody could say whether it was made.
+            // A call sent on a connection to the previous process would have an unknown outcome.
             self.pool.close_idle(self.settings.upstream);
         }
     }
 
-    /// Tells whether `upstream` is the one beside this node.
+    /// Returns whether `upstream` is the one colocated with this node.
     pub(crate) fn is_colocated(&self, upstream: &Upstream) -> bool {
         upstream.address == self.settings.address
     }
 
-    /// Tells whether the upstream `identity` beside this node is known to have started again after
-    /// `started_ms`.
+    /// Returns whether the colocated upstream `identity` is known to have restarted after `started_ms`.
     pub(crate) fn has_restarted(&self, identity: Option<&str>, started_ms: Option<u64>) -> bool {
         colocated::has_restarted(&self.view.load(), &self.settings, identity, started_ms)
     }
 
-    /// Tells callers from now on whether they may send new work here.
+    /// Sets whether callers may send new calls here.
     pub fn set_ready(&self, open: bool) {
         self.lifecycle.set_ready(open);
     }
 
-    /// Tells whether callers may send new work here.
+    /// Returns whether callers may send new calls here.
     pub fn is_ready(&self) -> bool {
         self.lifecycle.is_ready()
     }
 
-    /// Tells whether the upstream `identity` beside this node is known to take no more work.
+    /// Returns whether the colocated upstream `identity` is listed as leaving.
     pub(crate) fn has_left(&self, identity: Option<&str>) -> bool {
         colocated::has_left(&self.view.load(), &self.settings, identity)
     }
 
-    /// Tells whether operators had the data centre of the own upstream evacuated.
+    /// Returns whether the data centre of the colocated upstream is evacuated.
     pub(crate) fn is_evacuated(&self) -> bool {
         colocated::is_evacuated(&self.view.load(), &self.settings)
     }
 
-    /// Returns the part of the split of the route `name` that its next call goes to.
+    /// Returns the index in `weights` of the target of the next call of the route `name`.
     pub(crate) fn next_part(&self, name: &str, weights: &[u32]) -> Option<usize> {
         if weights.len() == 1 {
             return Some(0);
@@ -201,54 +199,54 @@
         splits.get_mut(name).expect("the split was just inserted").next(weights, offset)
     }
 
-    /// Gives `work` the register of refused callers.
+    /// Calls `work` with the register of refused callers.
     pub(crate) fn with_refused<T>(&self, work: impl FnOnce(&mut comeback::Register) -> T) -> T {
         work(&mut lock(&self.refused))
     }
 
-    /// Returns what this node holds for its upstream.
+    /// Returns the load of the colocated upstream, including body transfers.
     pub(crate) fn load(&self) -> health::Load {
         health::Load { bodies: self.transfers.pending(), ..self.slots.load() }
     }
 
-    /// Returns the number of nodes that share the fleet's budget for repeated calls.
+    /// Returns the number of nodes that share the retry budget of the fleet.
     pub(crate) fn fleet_size(&self) -> usize {
         self.view().iter().count()
     }
 
-    /// Takes no more work for the own upstream.
+    /// Stops accepting calls for the colocated upstream.
     pub fn leave(&self) {
         self.lifecycle.leave();
     }
 
-    /// Takes no more calls of callers either: the process ends soon.
+    /// Stops accepting calls of callers as well, shortly before the process exits.
     pub fn close(&self) {
         self.lifecycle.close();
     }
 
-    /// Tells whether the node takes no more work.
+    /// Returns whether the node accepts no more calls for its upstream.
     pub fn is_leaving(&self) -> bool {
         self.lifecycle.is_leaving()
     }
 
-    /// Returns the number of calls in hand, in either role.
+    /// Returns the number of calls in flight, as entry node and as serving node.
     pub fn calls_in_flight(&self) -> usize {
         self.in_flight.total()
     }
 
-    /// Returns the longest time that the profile of the own service grants for a planned stop.
+    /// Returns the drain timeout of a planned stop, from the profile of the upstream's service.
     pub fn drain_limit(&self) -> Duration {
         let config = self.config();
         let profile = config.service(&self.settings.service).map(|s| config.profile(s));
         Duration::from_millis(profile.map_or(0, |p| p.drain_ms))
     }
 
-    /// Notes a beat of the thread that watches for pauses; returns the length of one that ended.
+    /// Advances the pause detector; returns the length of a pause that ended.
     pub fn tick_pause_detector(&self) -> Option<Duration> {
         lock(&self.watch).beat(self.clock.now())
     }
 
-    /// Returns the counts of notable calls since the last time, and does small upkeep.
+    /// Returns the event counts since the last call, and removes expired connections and grants.
     pub fn collect_events(&self) -> Vec<Kind> {
         self.pool.remove_expired();
         self.transfers.remove_expired(self.clock.now());
@@ -258,20 +256,22 @@
         events
     }
 
-    /// Returns the configuration in force.
+    /// Returns the current configuration.
     pub fn config(&self) -> Arc<Snapshot> {
         self.config.load_full()
     }
 
-    /// Returns the known upstreams.
+    /// Returns the current view of the upstreams.
     pub fn view(&self) -> Arc<View> {
         self.view.load_full()
     }
 
+    /// Returns an id that is unique within the process.
     pub(crate) fn next_id(&self) -> u64 {
         self.ids.fetch_add(1, Ordering::Relaxed)
     }
 
+    /// Returns whether a request received at `received` may have waited through a pause of the process.
     pub(crate) fn may_be_stale(&self, received: Time, now: Time) -> bool {
         lock(&self.watch).in_doubt(received, now)
     }
--- a/crates/traffic/src/proxy/colocated.rs
+++ b/crates/traffic/src/proxy/colocated.rs
@@ -1,4 +1,4 @@
-//! What the list says of the upstream beside this node.
+//! Entries of the colocated upstream in the view.
 
 use fleet::{
     member,
@@ -7,12 +7,12 @@
 
 use crate::proxy::{services::is_same_incarnation, settings::Settings};
 
-/// Returns the entry of the own upstream, if it is listed.
+/// Returns the entry of the colocated upstream, if it is listed.
 pub(crate) fn find<'a>(view: &'a View, settings: &'a Settings) -> Option<&'a Upstream> {
     entries(view, settings).next()
 }
 
-/// Tells whether the own upstream is the same in two views, with the same life.
+/// Returns whether the colocated upstream is the same process in two views.
 pub(crate) fn is_same(before: &View, view: &View, settings: &Settings) -> bool {
     match (find(before, settings), find(view, settings)) {
         (Some(a), Some(b)) => is_same_incarnation(a, b),
@@ -21,23 +21,23 @@
     }
 }
 
-/// Returns how many calls the own upstream can work on at once, where the list tells it.
+/// Returns the concurrency limit of the colocated upstream, if it is listed with one.
 pub(crate) fn slots(view: &View, settings: &Settings) -> Option<usize> {
     entries(view, settings).map(|u| u.slots).filter(|slots| *slots > 0).max()
 }
 
-/// Tells whether the upstream `identity` beside this node takes no more work.
+/// Returns whether the colocated upstream `identity` is listed as leaving.
 pub(crate) fn has_left(view: &View, settings: &Settings, identity: Option<&str>) -> bool {
     let is_leaving = |u: &Upstream| u.state == member::State::Leaving;
     entries(view, settings).any(|u| u.identity.as_deref() == identity && is_leaving(u))
 }
 
-/// Tells whether operators had the data centre of the own upstream evacuated.
+/// Returns whether the data centre of the colocated upstream is evacuated.
 pub(crate) fn is_evacuated(view: &View, settings: &Settings) -> bool {
     entries(view, settings).any(|u| u.state == member::State::Evacuated)
 }
 
-/// Tells whether the upstream `identity` beside this node has started again after `started_ms`.
+/// Returns whether the colocated upstream `identity` has restarted after `started_ms`.
 pub(crate) fn has_restarted(
     view: &View,
     settings: &Settings,
@@ -49,7 +49,7 @@
         && own.any(|(_, u)| u.identity.as_deref() == identity && u.started_ms > started_ms)
 }
 
-/// Iterates over what the list says of the own upstream; more than one entry where an address is reused.
+/// Iterates over the entries of the colocated upstream; several if its address was reused.
 pub(crate) fn entries<'a>(
     view: &'a View,
     settings: &'a Settings,
--- a/crates/traffic/src/proxy/crashes.rs
+++ b/crates/traffic/src/proxy/crashes.rs
@@ -1,4 +1,4 @@
-//! Crashes of the own upstream, and the requests that ran then.
+//! Crashes of the colocated upstream, and the requests that were in flight.
 
 use fleet::quarantine::{End, Loss};
 use model::{
@@ -13,55 +13,54 @@
 
 use crate::lock::lock;
 
-/// What is known of the own upstream's ends.
+/// Detected crashes of the colocated upstream.
 #[derive(Debug, Default)]
 pub(crate) struct Crashes {
     runs: Mutex<Runs>,
-    /// Whether somebody finds out whether the upstream has ended.
+    /// Whether a probe of the upstream is in progress.
     probing: AtomicBool,
-    /// The end of the present process, once it is found.
+    /// The crash of the current process, once detected.
     ///
-    /// Calls that broke with a process are not all read in the same moment. Those that come after the others
-    /// belong to the same end, or one process would count as several.
+    /// Calls that broke later are attributed to the same crash, so that it is counted once.
     current: Mutex<Option<End>>,
-    /// Crashes that control has not taken yet.
+    /// Crashes not yet taken by the control thread.
     found: Mutex<Vec<Loss>>,
-    /// Suspected requests that were answered, which control has not taken yet.
+    /// Suspected requests that were answered, not yet taken by the control thread.
     cleared: Mutex<Vec<Fingerprint>>,
 }
 
 impl Crashes {
-    /// Notes that a process listens at the upstream's address.
+    /// Records that a process listens at the upstream's address.
     pub(crate) fn mark_alive(&self) {
         *lock(&self.current) = None;
     }
 
-    /// Notes that the upstream answered a call.
+    /// Records that the upstream answered a call.
     pub(crate) fn record_answer(&self, request: Fingerprint, now: Time) {
         lock(&self.runs).answer(request, now);
     }
 
-    /// Notes that a call to the upstream was lost.
+    /// Records that a call to the upstream was lost.
     pub(crate) fn record_loss(&self, suspect: Suspect, loss: suspects::Loss, now: Time) {
         lock(&self.runs).lose(suspect, loss, now);
     }
 
-    /// Tells whether the upstream answered anything after `since`.
+    /// Returns whether the upstream answered any call after `since`.
     pub(crate) fn has_answered_after(&self, since: Time) -> bool {
         lock(&self.runs).has_answered_after(since)
     }
 
-    /// Tells whether any call to the upstream was lost lately.
+    /// Returns whether any call to the upstream was lost recently.
     pub(crate) fn has_recent_loss(&self, now: Time) -> bool {
         lock(&self.runs).has_lost(now)
     }
 
-    /// Returns whether nobody else looks whether the upstream has ended.
+    /// Starts a probe of the upstream; returns `false` if one is in progress.
     pub(crate) fn begin_probe(&self) -> bool {
         !self.probing.swap(true, Ordering::SeqCst)
     }
 
-    /// Notes what a look has shown.
+    /// Records the result of a probe.
     pub(crate) fn finish_probe(&self, has_ended: bool, now: Time) {
         self.probing.store(false, Ordering::SeqCst);
         let mut runs = lock(&self.runs);
@@ -76,22 +75,22 @@
         }
     }
 
-    /// Notes that a suspected request is one that upstreams answer.
+    /// Clears a suspected request, because an upstream answered it.
     pub(crate) fn clear(&self, request: Fingerprint) {
         lock(&self.cleared).push(request);
     }
 
-    /// Tells whether the upstream answered a call like `request` lately.
+    /// Returns whether the upstream recently answered a call with this fingerprint.
     pub(crate) fn was_answered(&self, request: Fingerprint, now: Time) -> bool {
         lock(&self.runs).was_answered(request, now)
     }
 
-    /// Takes the suspected requests that were answered since the last time.
+    /// Takes the suspected requests that were answered since the last call.
     pub(crate) fn take_cleared(&self) -> Vec<Fingerprint> {
         std::mem::take(&mut *lock(&self.cleared))
     }
 
-    /// Takes the ends that were found since the last time.
+    /// Takes the crashes that were detected since the last call.
     pub(crate) fn take_found(&self) -> Vec<Loss> {
         std::mem::take(&mut *lock(&self.found))
     }
--- a/crates/traffic/src/proxy/estimates.rs
+++ b/crates/traffic/src/proxy/estimates.rs
@@ -1,38 +1,37 @@
-//! How long calls of a route take, and how large their answers are.
+//! Estimates of the latency and the answer size of each route.
 
 use policy::latency::{Estimate, Size};
 use std::{collections::HashMap, sync::Mutex, time::Duration};
 
 use crate::lock::lock;
 
-/// Most routes whose answers are remembered, some 100 bytes each; of others nothing is known.
+/// Maximum number of routes with estimates; bounds memory.
 const MAX_ROUTES: usize = 8_192;
 
-/// Estimates by route, or by service where there are no routes.
+/// Estimates by route, or by service if there are no routes.
 #[derive(Default)]
 pub(crate) struct Estimates {
     routes: Mutex<HashMap<String, Answers>>,
 }
 
-/// Answers to the calls of one route.
+/// Latency and size of the answers of one route.
 struct Answers {
     latency: Estimate,
     size: Size,
 }
 
 impl Estimates {
-    /// Returns the time that calls of `route` to `service` take, if one was answered so far.
+    /// Returns the latency of `route`, or of `service` if `route` is empty; `None` before the first answer.
     pub(crate) fn latency(&self, service: &str, route: &str) -> Option<Estimate> {
         lock(&self.routes).get(key(service, route)).map(|answers| answers.latency)
     }
 
-    /// Returns the bytes that answers of `route` to `service` usually have; 0 before the first one.
+    /// Returns the usual size of an answer of `route` to `service`, in bytes; 0 before the first one.
     pub(crate) fn bytes(&self, service: &str, route: &str) -> usize {
         lock(&self.routes).get(key(service, route)).map_or(0, |answers| answers.size.usual())
     }
 
-    /// Notes that a call of `route` to `service` was answered after `time` with `bytes`; returns the
-    /// time that such calls took before.
+    /// Records an answer of `bytes` after `time`; returns the latency estimate before it.
     pub(crate) fn record(
         &self,
         service: &str,
--- a/crates/traffic/src/proxy/explain.rs
+++ b/crates/traffic/src/proxy/explain.rs
@@ -1,11 +1,11 @@
-//! Why an upstream would or would not be chosen now.
+//! Explains to operators which upstreams are eligible now, and why.
 
 use fleet::{member::State, status::Candidate};
 
 use crate::proxy::Proxy;
 
 impl Proxy {
-    /// Explains every known upstream of `service`.
+    /// Returns the eligibility of every known upstream of `service`, with a reason for operators.
     pub fn explain(&self, service: &str) -> Vec<Candidate> {
         let view = self.view();
         let now = self.clock.now();
@@ -16,21 +16,26 @@
         for upstream in upstreams {
             let record = self.services.with(service, |s| s.record(upstream, now).clone());
             let (eligible, reason) = match upstream.state {
-                State::Leaving => (false, "it is leaving".to_owned()),
-                State::Unreachable => (false, "its node is out of reach".to_owned()),
-                State::Gone => (false, "it has stopped".to_owned()),
-                State::Evacuated => (false, "operators had its data centre evacuated".to_owned()),
+                State::Leaving => (false, "leaving".to_owned()),
+                State::Unreachable => (false, "node unreachable".to_owned()),
+                State::Gone => (false, "stopped".to_owned()),
+                State::Evacuated => (false, "data centre evacuated by operators".to_owned()),
                 _ if record.is_ejected(now) => {
                     let left = record.ejected_until().since(now).as_millis();
-                    (false, format!("own calls to it failed; not chosen for {left} ms"))
+                    (
+                        false,
+                        format!(
+                            "ejected after failed calls from this node; not chosen for {left} ms"
+                        ),
+                    )
                 }
                 _ if !upstream.near && !spill => {
-                    (false, "the profile keeps calls in the own data centre".to_owned())
+                    (false, "profile restricts calls to this data centre".to_owned())
                 }
                 _ if !upstream.near && near_able => {
-                    (false, "the own data centre has upstreams that are able".to_owned())
+                    (false, "upstreams are available in this data centre".to_owned())
                 }
-                State::Suspect => (true, "suspected, and not yet out of reach".to_owned()),
+                State::Suspect => (true, "suspected, not yet unreachable".to_owned()),
                 State::Live => (true, "live".to_owned()),
             };
             all.push(Candidate {
--- a/crates/traffic/src/proxy/in_flight.rs
+++ b/crates/traffic/src/proxy/in_flight.rs
@@ -1,36 +1,36 @@
-//! What a node holds at once: calls, and bytes of their bodies.
+//! Accounting of the calls in flight and of the bytes of their bodies.
 //!
-//! Without a bound, a service whose upstreams hang fills the node until nothing else finds capacity.
+//! Limits on both prevent one service with unresponsive upstreams from exhausting the node.
 
 use policy::share::Room;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 use crate::proxy::services::Services;
 
-/// Counts of what is in hand.
+/// Calls and bytes in flight.
 #[derive(Debug, Default)]
 pub(crate) struct Usage {
-    /// Calls as entry node.
+    /// Calls in flight as entry node.
     calls: AtomicUsize,
-    /// Calls as serving node.
+    /// Calls in flight as serving node.
     offers: AtomicUsize,
-    /// Bytes of bodies.
+    /// Reserved bytes of request bodies.
     bytes: AtomicUsize,
 }
 
 impl Usage {
-    /// Returns the number of calls in hand as entry node.
+    /// Returns the number of calls in flight as entry node.
     pub(crate) fn calls(&self) -> usize {
         self.calls.load(Ordering::SeqCst)
     }
 
-    /// Returns the number of calls in hand, in either role.
+    /// Returns the number of calls in flight, as entry node and as serving node.
     pub(crate) fn total(&self) -> usize {
         self.calls() + self.offers.load(Ordering::SeqCst)
     }
 }
 
-/// Bytes of bodies reserved in the node's room; given back when dropped.
+/// Reserved bytes of a request body, released on drop.
 pub(crate) struct Reservation<'a> {
     usage: &'a Usage,
     bytes: usize,
@@ -41,7 +41,7 @@
         Reservation { usage, bytes: 0 }
     }
 
-    /// Reserves `more` bytes of `room`; returns whether they fit.
+    /// Reserves `more` bytes if `capacity` allows; returns whether it does.
     pub(crate) fn extend(&mut self, more: usize, capacity: Room) -> bool {
         if !capacity.fits(self.usage.bytes.load(Ordering::SeqCst), more) {
             return false;
@@ -58,7 +58,7 @@
     }
 }
 
-/// A call to a service in hand; given back when dropped.
+/// Counts a call of a caller as in flight until dropped.
 pub(crate) struct CallGuard<'a> {
     usage: &'a Usage,
     services: &'a Services,
@@ -66,7 +66,7 @@
 }
 
 impl<'a> CallGuard<'a> {
-    /// Takes a call to `service` into `room`; none where it is full.
+    /// Counts a call to `service`; `None` if `capacity` is exhausted.
     pub(crate) fn take(
         usage: &'a Usage,
         services: &'a Services,
@@ -94,7 +94,7 @@
     }
 }
 
-/// A call that is offered to the own upstream, counted as in hand until this is dropped.
+/// Counts a call offered to the colocated upstream as in flight until dropped.
 pub(crate) struct OfferGuard<'a> {
     usage: &'a Usage,
 }
--- a/crates/traffic/src/proxy/lifecycle.rs
+++ b/crates/traffic/src/proxy/lifecycle.rs
@@ -1,11 +1,11 @@
-//! What the node takes at this time of its life.
+//! Readiness, draining and shutdown of the node.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// Which work the node takes.
+/// Which calls the node accepts.
 #[derive(Debug, Default)]
 pub(crate) struct Lifecycle {
-    /// Whether callers may send new work here.
+    /// Whether callers may send new calls here.
     ready: AtomicBool,
     was_ready_once: AtomicBool,
     leaving: AtomicBool,
@@ -13,38 +13,38 @@
 }
 
 impl Lifecycle {
-    /// Tells callers from now on whether they may send new work here.
+    /// Sets whether callers may send new calls here.
     pub(crate) fn set_ready(&self, ready: bool) {
         self.ready.store(ready, Ordering::SeqCst);
         self.was_ready_once.fetch_or(ready, Ordering::SeqCst);
     }
 
-    /// Tells whether callers may send new work here.
+    /// Returns whether callers may send new calls here.
     pub(crate) fn is_ready(&self) -> bool {
         self.ready.load(Ordering::SeqCst)
     }
 
-    /// Tells whether callers were ever told that they may send new work here.
+    /// Returns whether the node was ready at any time.
     pub(crate) fn was_ready(&self) -> bool {
         self.was_ready_once.load(Ordering::SeqCst)
     }
 
-    /// Takes no more work for the own upstream.
+    /// Stops accepting calls for the colocated upstream.
     pub(crate) fn leave(&self) {
         self.leaving.store(true, Ordering::SeqCst);
     }
 
-    /// Tells whether the node takes no more work for the own upstream.
+    /// Returns whether the node accepts no more calls for the colocated upstream.
     pub(crate) fn is_leaving(&self) -> bool {
         self.leaving.load(Ordering::SeqCst)
     }
 
-    /// Takes no more calls of callers either.
+    /// Stops accepting calls of callers as well.
     pub(crate) fn close(&self) {
         self.closed.store(true, Ordering::SeqCst);
     }
 
-    /// Tells whether the node takes no more calls of callers.
+    /// Returns whether the node accepts no more calls of callers.
     pub(crate) fn is_closed(&self) -> bool {
         self.closed.load(Ordering::SeqCst)
     }
--- a/crates/traffic/src/proxy/quarantine.rs
+++ b/crates/traffic/src/proxy/quarantine.rs
@@ -1,4 +1,4 @@
-//! Which calls must not run, since upstreams ended under such ones, and what this node adds to that.
+//! Applies the quarantine of poison requests, and collects this node's evidence for it.
 
 use fleet::quarantine::{Loss, Quarantine};
 use model::request::Fingerprint;
@@ -8,31 +8,31 @@
 use crate::{call::Payload, proxy::Proxy};
 
 impl Proxy {
-    /// Does not run what is in `quarantine` from now on.
+    /// Replaces the quarantine: its requests are refused from now on.
     pub fn set_quarantine(&self, quarantine: Arc<Quarantine>) {
         let before = self.quarantine.swap(quarantine.clone());
         let now = self.clock.now();
         for request in quarantine.suspects.difference(&before.suspects) {
-            // Others may suspect what was answered here a moment ago.
+            // Another node may suspect a request that was just answered here.
             if self.crashes.was_answered(*request, now) {
                 self.crashes.clear(*request);
             }
         }
     }
 
-    /// Takes the ends of the own upstream that were found since the last time, with what ran at each.
+    /// Takes the crashes of the colocated upstream since the last call, with the suspected requests.
     pub fn take_crashes(&self) -> Vec<Loss> {
         let ends = self.crashes.take_found();
         ends.iter().for_each(|_| self.meter.upstream_end());
         ends
     }
 
-    /// Takes the suspected requests that the own upstream answered since the last time.
+    /// Takes the suspected requests that the colocated upstream answered since the last call.
     pub fn take_cleared(&self) -> Vec<Fingerprint> {
         self.crashes.take_cleared()
     }
 
-    /// Notes that the own upstream answered a request, and did not fail at it.
+    /// Records that the colocated upstream answered a request without a server error.
     pub(crate) fn note_answered(&self, request: Fingerprint) {
         self.crashes.record_answer(request, self.clock.now());
         if self.quarantine.load().suspects.contains(&request) {
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Returns the outcome of a call to `service` that must not run, since upstreams ended under such calls.
+    /// Returns the outcome of a quarantined call to `service`; `None` if the call may run.
     pub(crate) fn quarantined(&self, payload: &Payload, service: &str) -> Option<Outcome> {
         let quarantine = self.quarantine.load();
         if quarantine.until.is_empty() {
@@ -51,14 +51,14 @@
         (!left.is_zero()).then_some(Outcome::NotRun(Cause::Quarantined, left))
     }
 
-    /// Tells whether an upstream is known to have ended under such a call.
+    /// Returns whether the call is suspected to crash upstreams.
     pub(crate) fn is_suspected(&self, payload: &Payload, service: &str) -> bool {
         let quarantine = self.quarantine.load();
         !quarantine.suspects.is_empty()
             && quarantine.suspects.contains(&self.fingerprint(payload, service))
     }
 
-    /// Identifies what a call to `service` asks for.
+    /// Returns the fingerprint of a call to `service`.
     pub(crate) fn fingerprint(&self, payload: &Payload, service: &str) -> Fingerprint {
         payload.fingerprint((!self.config().has_routes()).then_some(service))
     }
--- a/crates/traffic/src/proxy/services.rs
+++ b/crates/traffic/src/proxy/services.rs
@@ -1,4 +1,4 @@
-//! What this node has seen of services and their upstreams.
+//! Records of this node's calls, by service and upstream.
 
 use fleet::view::{Upstream, View};
 use model::time::Time;
@@ -11,14 +11,14 @@
 
 use crate::lock::lock;
 
-/// Observations by the names of services.
+/// Records by service name.
 #[derive(Default)]
 pub(crate) struct Services {
     known: Mutex<HashMap<String, Service>>,
 }
 
 impl Services {
-    /// Gives `work` the observations of one service.
+    /// Calls `work` with the records of one service.
     pub(crate) fn with<T>(&self, name: &str, work: impl FnOnce(&mut Service) -> T) -> T {
         let mut services = lock(&self.known);
         if !services.contains_key(name) {
@@ -27,8 +27,8 @@
         work(services.get_mut(name).expect("the service was just inserted"))
     }
 
-    /// Forgets what was seen of upstreams that are not in `view`, and begins to observe those that
-    /// are new in it, or that were out of reach `before`.
+    /// Removes the records of upstreams that are not in `view`, creates those of new upstreams, and
+    /// reinstates upstreams that were unreachable `before`.
     pub(crate) fn follow(&self, view: &View, before: &View, now: Time) {
         let mut services = lock(&self.known);
         for (name, service) in services.iter_mut() {
@@ -38,8 +38,7 @@
             };
             service.upstreams.retain(|life, record| is_known(life) || record.in_flight() > 0);
         }
-        // Slow start counts from the moment at which an upstream becomes known, not from its
-        // first call, so observation begins here for services that calls have gone to.
+        // Slow start begins when an upstream becomes known, not with its first call.
         for (name, service) in services.iter_mut() {
             for upstream in view.upstreams(name) {
                 let record = service.record(upstream, now);
@@ -51,7 +50,7 @@
     }
 }
 
-/// What this node has seen of one service.
+/// Records of one service.
 #[derive(Default)]
 pub(crate) struct Service {
     pub(crate) budget: Budget,
@@ -60,25 +59,24 @@
     upstreams: HashMap<Incarnation, Record>,
 }
 
-/// One life of one upstream.
+/// Identifies one process of an upstream.
 ///
-/// Nothing that was seen of a former life holds for this one: it may be slow again after its start,
-/// and calls that hang or failures that were counted ended with the process.
+/// Records don't carry over a restart: latencies and failures of the previous process say nothing
+/// about the new one, and its calls in flight are gone.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 struct Incarnation {
     /// Address of its node.
     address: SocketAddr,
-    /// Incarnation of the node, where the upstream has no identity of its own; 0 otherwise.
+    /// Incarnation of the node if the upstream has no identity of its own, otherwise 0.
     incarnation: u64,
     identity: Option<Arc<str>>,
-    /// Start of a life, in ms of Unix time: an upstream may start again under its identity.
+    /// Start of the process, in ms of Unix time; an upstream may restart under its identity.
     started_ms: Option<u64>,
 }
 
-/// Tells whether two entries are of the same life of the same upstream, whatever else they say.
+/// Returns whether two entries are of the same process of the same upstream.
 ///
-/// The same as comparing their [`Incarnation`], without making it: every choice compares every upstream
-/// with those that the call was offered to.
+/// Equivalent to comparing their [`Incarnation`], without constructing one for each comparison.
 pub(crate) fn is_same_incarnation(a: &Upstream, b: &Upstream) -> bool {
     let is_same_node = a.identity.is_some() || a.incarnation == b.incarnation;
     a.address == b.address
@@ -87,7 +85,7 @@
         && is_same_node
 }
 
-/// Tells whether an upstream's node is within reach again, or in a new life.
+/// Returns whether an upstream's node is reachable again or has restarted.
 fn has_returned(upstream: &Upstream, before: &[Upstream]) -> bool {
     let known = before.iter().find(|u| is_same_incarnation(u, upstream));
     let changed =
@@ -107,12 +105,12 @@
 }
 
 impl Service {
-    /// Returns the observations of `upstream`, begun now if there are none.
+    /// Returns the record of `upstream`, created now if there is none.
     pub(crate) fn record(&mut self, upstream: &Upstream, now: Time) -> &mut Record {
         self.upstreams.entry(Incarnation::of(upstream)).or_insert_with(|| Record::new(now))
     }
 
-    /// Returns the observations of `upstream`, if there are any.
+    /// Returns the record of `upstream`, if there is one.
     pub(crate) fn seen(&self, upstream: &Upstream) -> Option<&Record> {
         self.upstreams.get(&Incarnation::of(upstream))
     }
--- a/crates/traffic/src/proxy/settings.rs
+++ b/crates/traffic/src/proxy/settings.rs
@@ -1,52 +1,52 @@
-//! Settings of a node's traffic.
+//! Settings of the data plane of a node.
 
 use policy::{budget, pause, share::Room, warmup::Excess};
 use std::{net::SocketAddr, time::Duration};
 
 use crate::wire;
 
-/// Settings of a node's traffic.
+/// Settings of the data plane of a node.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The node's address for messages between nodes, by which views name it.
+    /// The node's address for messages between peers, which identifies it in views.
     pub address: SocketAddr,
-    /// Incarnation of the node, which offers must name; none where the platform's list names upstreams
-    /// by identities that they confirm themselves.
+    /// Incarnation of the node, which offers must name; `None` if the platform's list identifies
+    /// upstreams, which then confirm their identities themselves.
     pub incarnation: Option<u64>,
-    /// Service of its upstream.
+    /// Service of the colocated upstream.
     pub service: String,
-    /// Address of its upstream.
+    /// Address of the colocated upstream.
     pub upstream: SocketAddr,
-    /// Calls that the upstream can work on at once, until the list tells it.
+    /// Concurrency limit of the upstream, until the list gives one.
     pub slots: usize,
-    /// Where the sequence of each split begins; random, so that nodes begin at different parts.
+    /// Start of each route's split sequence; random, so that nodes start at different targets.
     pub split_offset: u64,
-    /// What may change while the process runs.
+    /// Settings that may change at run time.
     pub tuning: Tuning,
-    /// Most connections from callers and other nodes.
+    /// Maximum number of connections from callers and other nodes.
     pub max_connections: usize,
-    /// How pauses of the process are found.
+    /// Settings of the pause detector.
     pub pause: pause::Settings,
-    /// The platform's name of the instance, in log lines.
+    /// The platform's name of the instance, for log lines.
     pub instance: String,
     /// Whether requests are logged.
     pub log: bool,
-    /// Speed of the instance's link, in Mbit/s; 0 where it is not known.
+    /// Speed of the instance's link, in Mbit/s; 0 if unknown.
     pub link_mbps: u32,
-    /// Names of headers.
+    /// Configurable header names.
     pub names: wire::Names,
 }
 
-/// Settings of a node's traffic that may change while the process runs.
+/// Settings of the data plane that may change at run time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tuning {
-    /// Room for calls in hand.
+    /// Limits on calls and body bytes in flight.
     pub capacity: Room,
-    /// Longest time for opening a connection.
+    /// Timeout for opening a connection.
     pub connect_timeout: Duration,
-    /// Bound on repeated calls of the whole fleet; none where profiles bound each node's.
+    /// Retry budget of the whole fleet; `None` if profiles limit the retries of each node.
     pub budget: Option<budget::Settings>,
-    /// How far calls to a cold upstream may exceed what it bears.
+    /// Tolerated excess over the warm-up limit of a cold upstream.
     pub cold_excess: Excess,
 }
 
@@ -62,7 +62,7 @@
 }
 
 impl Default for Settings {
-    /// Values for tests and tools; a node names its own addresses.
+    /// Returns settings for tests and tools, without addresses.
     fn default() -> Self {
         let nowhere = SocketAddr::new(std::net::Ipv4Addr::UNSPECIFIED.into(), 0);
         Settings {
--- a/crates/traffic/src/proxy/warmup.rs
+++ b/crates/traffic/src/proxy/warmup.rs
@@ -1,4 +1,4 @@
-//! Which upstreams are cold, and how many calls they get.
+//! Rate limits of cold upstreams.
 
 use fleet::view::Upstream;
 use model::{service::WarmUp, time::Time};
@@ -7,18 +7,18 @@
 use crate::proxy::{Proxy, colocated};
 
 impl Proxy {
-    /// Returns what cold upstreams of `service` bear, where that is limited.
+    /// Returns the warm-up limit of `service`, if it has one.
     pub(crate) fn warm_up(&self, service: &str) -> Option<WarmUp> {
         self.config.load().service(service)?.warm_up
     }
 
-    /// Returns the limit of calls to an upstream that bears `warm_up` while it is cold; none if it is warm.
+    /// Returns the rate limit of an upstream under `warm_up`; `None` if the upstream is warm.
     pub(crate) fn limit(&self, warm_up: WarmUp, upstream: &Upstream, now: Time) -> Option<Limit> {
         let until = cold_until(upstream, warm_up);
         (now < until).then(|| Limit::new(warm_up, self.tuning().cold_excess, until))
     }
 
-    /// Has the slots of the own upstream follow whether it is cold.
+    /// Updates the rate limit of the colocated upstream.
     pub(crate) fn refresh_warm_up(&self) {
         let now = self.clock.now();
         let warm_up = self.warm_up(&self.settings.service);
@@ -34,8 +34,8 @@
     }
 }
 
-/// Returns until when an upstream is cold. Whether it became so while its data centre was evacuated is told
-/// too late, so it counts as cold from the moment at which that was taken back.
+/// Returns until when an upstream is cold. After an evacuation ends, every upstream of the data centre
+/// counts as cold, because reports of those that cooled meanwhile arrive too late.
 fn cold_until(upstream: &Upstream, warm_up: WarmUp) -> Time {
     let after_evacuation = upstream.taken_back.map(|at| at + warm_up.length);
     upstream.cold_until.max(after_evacuation.unwrap_or_default())
--- a/crates/traffic/src/record.rs
+++ b/crates/traffic/src/record.rs
@@ -1,8 +1,7 @@
-//! Records what is decided about each request and logs it, within a bound.
+//! Traces the steps of each request and logs sampled traces, rate-limited.
 //!
-//! A request's steps are kept in memory until it ends. Those of a request that failed are logged
-//! whole; of the others one in [`SAMPLE`] is, chosen by the request's id, so that all nodes choose
-//! the same ones. What exceeds the bound is counted, and the count is logged.
+//! Failed and late requests are always logged, of the others one in [`SAMPLE`]; sampling is by the
+//! request's id, so that all nodes log the same ones. Dropped lines are counted.
 
 pub(crate) mod events;
 
@@ -20,31 +19,29 @@
 
 use crate::{clock::Clock, lock::lock};
 
-/// Of so many requests that went well, one is logged: enough to see what is usual, at about 1 % of
-/// the processor time that a request costs.
+/// One in this many successful requests is logged, to limit the cost in processor time.
 const SAMPLE: u64 = 32;
 
-/// Lines a second for requests that failed. A node on a fifth of a core refuses a few hundred
-/// requests a second at most; beyond this bound more lines tell nothing new.
+/// Maximum log lines per second for failed and late requests.
 const NOTABLE_LINES: u32 = 400;
 
-/// Lines a second for requests that went well.
+/// Maximum log lines per second for successful requests.
 const USUAL_LINES: u32 = 60;
 
-/// How much a request matters to whoever reads the log.
+/// Sampling class of a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Interest {
-    /// It has no answer, a failure as answer, or a late one.
+    /// Without an answer, answered with a server error, or late.
     Notable,
-    /// It went well.
+    /// Answered in time without a server error.
     Usual,
 }
 
-/// The steps of one request at one node.
+/// Trace of one request at one node.
 #[derive(Debug)]
 pub(crate) struct Trace {
     id: String,
-    /// When an answer becomes late.
+    /// End of the latency objective.
     due: OnceLock<Time>,
     steps: Mutex<Vec<(Time, Step)>>,
 }
@@ -59,28 +56,28 @@
         &self.id
     }
 
-    /// Notes when an answer becomes late.
+    /// Sets the end of the latency objective.
     pub(crate) fn set_due(&self, due: Time) {
-        // Each request is routed once, so the first value is the only one.
+        // Each request is routed once, so the value is set at most once.
         let _ = self.due.set(due);
     }
 
-    /// Tells whether an answer now is late.
+    /// Returns whether an answer at `now` misses the latency objective.
     pub(crate) fn is_late(&self, now: Time) -> bool {
         self.due.get().is_some_and(|due| now > *due)
     }
 
-    /// Notes a step.
+    /// Records a step with the current time.
     pub(crate) fn note(&self, log: &Log, step: Step) {
         self.lock().push((log.clock.now(), step));
     }
 
-    /// Returns how many times the request was offered so far.
+    /// Returns the number of attempts so far.
     pub(crate) fn attempts(&self) -> usize {
         self.lock().iter().filter(|(_, step)| matches!(step, Step::Offered { .. })).count()
     }
 
-    /// Logs the steps, if the request matters enough and the bound allows it.
+    /// Logs and clears the steps, unless sampling or the rate limit drops them.
     pub(crate) fn write(&self, log: &Log, interest: Interest) {
         let steps = std::mem::take(&mut *self.lock());
         if !log.is_enabled || !log.admits(&self.id, interest, steps.len()) {
@@ -100,13 +97,13 @@
     }
 }
 
-/// The log of requests, its bounds, and what exceeded them.
+/// Request log with its rate limits.
 #[derive(Debug)]
 pub(crate) struct Log {
     clock: Clock,
     /// The platform's name of the instance.
     instance: String,
-    /// Whether requests are logged.
+    /// Whether traces are written.
     is_enabled: bool,
     notable: Mutex<Window>,
     usual: Mutex<Window>,
@@ -114,7 +111,7 @@
 }
 
 impl Log {
-    /// Creates a log in which nothing is written.
+    /// Creates a disabled log.
     pub(crate) fn new(clock: Clock) -> Self {
         Log {
             clock,
@@ -126,7 +123,7 @@
         }
     }
 
-    /// Writes requests from now on, as lines of `instance`.
+    /// Enables the log, with `instance` in its lines.
     pub(crate) fn enable(self, instance: &str) -> Self {
         Log { instance: instance.to_owned(), is_enabled: true, ..self }
     }
@@ -145,14 +142,14 @@
         admitted
     }
 
-    /// Returns the event that tells what was left out since the last call, if anything was.
+    /// Returns an event with the number of lines dropped since the last call, if any were.
     pub(crate) fn take_dropped(&self) -> Option<Kind> {
         let count = self.dropped.swap(0, Ordering::Relaxed);
         (count > 0).then_some(Kind::LinesLeftOut { count })
     }
 }
 
-/// Lines written in the present second.
+/// Lines written in the current one-second window.
 #[derive(Clone, Copy, Debug, Default)]
 struct Window {
     since: Time,
--- a/crates/traffic/src/record/events.rs
+++ b/crates/traffic/src/record/events.rs
@@ -1,7 +1,6 @@
-//! Counts of notable calls between two collections, for the time line.
+//! Aggregates events of calls into counts for the timeline.
 //!
-//! Under overload thousands of calls a second are refused; one event each would push everything
-//! else out of the ring. So they are counted here and collected once a second.
+//! Under overload, one timeline entry per refused call would evict all other entries.
 
 use fleet::timeline::Kind;
 use policy::outcome::{Cause, Doubt};
@@ -9,25 +8,25 @@
 
 use crate::lock::lock;
 
-/// Most different counts between two collections.
+/// Maximum number of distinct events between two collections.
 const KINDS_LIMIT: usize = 256;
 
-/// Something that is counted.
+/// An event of a call or an upstream.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub enum Event {
     /// A call to a service was not run.
     NotRun(String, Cause),
     /// The outcome of a call to a service is unknown.
     Unknown(String, Doubt),
-    /// A call to a service was offered again after this node's upstream failed for this reason.
+    /// A call to a service was retried after this upstream failed for this reason.
     Retried(String, SocketAddr, &'static str),
-    /// An upstream of a service answered, and took more than half of the time for the call.
+    /// An upstream of a service used more than half of a call's remaining time.
     Slow(String, SocketAddr),
     /// An upstream of a service was ejected.
     Ejected(String, SocketAddr),
 }
 
-/// The counts.
+/// Event counts since the last collection.
 #[derive(Debug, Default)]
 pub(crate) struct Counters {
     counts: Mutex<HashMap<Event, u64>>,
--- a/crates/traffic/src/wire.rs
+++ b/crates/traffic/src/wire.rs
@@ -1,4 +1,4 @@
-//! Headers towards callers and between nodes.
+//! Headers of calls and answers, towards callers and between nodes.
 
 pub use hyper::header::HeaderName;
 
@@ -12,7 +12,7 @@
 };
 use std::time::Duration;
 
-/// Names the service, where the path does not.
+/// Name of the service, if the path does not name it.
 pub const SERVICE: HeaderName = HeaderName::from_static("baobab-service");
 
 /// Remaining time of a call, in ms.
@@ -21,52 +21,52 @@
 /// How a call ended: `answered`, `not-run` or `unknown`.
 pub const OUTCOME: HeaderName = HeaderName::from_static("baobab-outcome");
 
-/// Revision that a call was routed under.
+/// Revision of the configuration that a call was routed by.
 pub const VERSION: HeaderName = HeaderName::from_static("baobab-version");
 
-/// Cause of `not-run` or doubt of `unknown`.
+/// Cause of a `not-run` or `unknown` outcome.
 pub const CAUSE: HeaderName = HeaderName::from_static("baobab-cause");
 
-/// Finer form of `Retry-After`, in ms.
+/// `Retry-After` in ms.
 pub const RETRY_AFTER_MS: HeaderName = HeaderName::from_static("baobab-retry-after-ms");
 
-/// Identifies one attempt; an answer that carries it must carry the same.
+/// Id of an attempt, which the answer must echo.
 pub const ID: HeaderName = HeaderName::from_static("baobab-id");
 
-/// Marks an offer of an entry node and names the life of the node it is meant for.
+/// Marks an offer; the value is the incarnation of the intended serving node.
 pub const OFFER: HeaderName = HeaderName::from_static("baobab-offer");
 
-/// Method and path decide for callers; between nodes the entry node tells what it decided.
+/// Whether an offered call is idempotent (`1` or `0`), as the entry node decided.
 pub const IDEMPOTENT: HeaderName = HeaderName::from_static("baobab-idempotent");
 
-/// Identity that the offered upstream must confirm.
+/// Identity that the upstream of an offer must confirm.
 pub const IDENTITY: HeaderName = HeaderName::from_static("baobab-identity");
 
-/// When the life of the offered upstream began, in ms of Unix time.
+/// Start of the intended upstream process, in ms of Unix time.
 pub const STARTED: HeaderName = HeaderName::from_static("baobab-started-ms");
 
-/// Rank of an offered call; 0 is the most urgent.
+/// Priority of an offered call; 0 is the highest.
 pub const PRIORITY: HeaderName = HeaderName::from_static("baobab-priority");
 
-/// Marks an offered call that an upstream makes for work that is under way.
+/// Marks an offered call as nested: made by an upstream for a request in progress.
 pub const NESTED: HeaderName = HeaderName::from_static("baobab-nested");
 
-/// Time within which an offered call must have begun, in ms.
+/// Time within which an offered call must start, in ms.
 pub const START: HeaderName = HeaderName::from_static("baobab-start-ms");
 
-/// Marks an offer without its body, which asks for a turn to send it.
+/// Marks an offer without its body that requests a transfer grant; the value is the body's size.
 pub const RESERVE: HeaderName = HeaderName::from_static("baobab-reserve");
 
-/// Number of a turn that was given.
+/// Ticket of a transfer grant.
 pub const TICKET: HeaderName = HeaderName::from_static("baobab-ticket");
 
-/// Calls that the serving node holds: `BUSY,WAITING`.
+/// Load of the serving node: `BUSY,WAITING,BODIES`.
 pub const LOAD: HeaderName = HeaderName::from_static("baobab-load");
 
-/// Prefix of all of the system's headers; upstreams and callers cannot forge them.
+/// Prefix of all internal headers; removed from requests of callers and answers of upstreams.
 const PREFIX: &str = "baobab-";
 
-/// Value of [`OUTCOME`] for a whole answer.
+/// Value of [`OUTCOME`] for a complete answer.
 pub const ANSWERED: &str = "answered";
 
 /// Value of [`OUTCOME`] for a call that was not run.
@@ -75,32 +75,32 @@
 /// Value of [`OUTCOME`] for a call that may have run.
 pub const UNKNOWN: &str = "unknown";
 
-/// How finely `Retry-After` is told.
+/// Precision of `Retry-After`.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Precision {
-    /// In whole seconds, as RFC 9110 has it.
+    /// In whole seconds, as in RFC 9110.
     #[default]
     Seconds,
-    /// In seconds with three decimals, where all callers are known to read them.
+    /// In seconds with three decimals, for callers that support them.
     Millis,
 }
 
-/// Headers whose names a deployment chooses, towards callers and upstreams.
+/// Configurable names of headers towards callers and upstreams.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Names {
     /// Remaining time of a call, in ms.
     pub deadline: HeaderName,
-    /// A caller's own id of a request; upstreams echo it.
+    /// Id of a request, given by the caller and echoed by upstreams.
     pub request: Option<HeaderName>,
-    /// Service of the instance on which a call began; set by the entry node.
+    /// Service of the entry node that received the call.
     pub caller: Option<HeaderName>,
-    /// Identity that an upstream is expected to have; another one refuses the call.
+    /// Expected identity of the upstream; an upstream with another identity refuses the call.
     pub identity: Option<HeaderName>,
-    /// Mark on an upstream's answer that it has not run the call.
+    /// Marks an answer of an upstream that has not run the call.
     pub refused: Option<HeaderName>,
-    /// Mark on every answer that an upstream made itself.
+    /// Marks every answer produced by an upstream itself.
     pub stamp: Option<HeaderName>,
-    /// How finely `Retry-After` is told.
+    /// Precision of `Retry-After`.
     pub precision: Precision,
 }
 
@@ -118,10 +118,10 @@
     }
 }
 
-/// A whole body in memory.
+/// A complete body in memory.
 pub type Body = http_body_util::Full<bytes::Bytes>;
 
-/// Removes headers that belong to one connection and those that only the system sets.
+/// Removes hop-by-hop headers and all internal headers.
 pub fn strip(headers: &mut HeaderMap) {
     let listed: Vec<String> = headers
         .get_all(header::CONNECTION)
@@ -133,7 +133,7 @@
         .keys()
         .filter(|name| {
             let name = name.as_str();
-            name.starts_with(PREFIX) || is_hop(name) || listed.iter().any(|l| l == name)
+            name.starts_with(PREFIX) || is_hop_by_hop(name) || listed.iter().any(|l| l == name)
         })
         .cloned()
         .collect();
@@ -142,7 +142,7 @@
     }
 }
 
-fn is_hop(name: &str) -> bool {
+fn is_hop_by_hop(name: &str) -> bool {
     matches!(
         name,
         "connection"
@@ -157,7 +157,7 @@
     )
 }
 
-/// Removes what only the entry node may set on a call.
+/// Removes headers of a call that only the entry node may set.
 pub fn strip_claims(headers: &mut HeaderMap, names: &Names) {
     headers.remove(&names.deadline);
     for name in [&names.caller, &names.identity].into_iter().flatten() {
@@ -165,7 +165,7 @@
     }
 }
 
-/// Returns the answer that tells a caller, or an entry node, an outcome without an answer.
+/// Returns the response for a call without an answer, towards a caller or an entry node.
 pub fn response(outcome: Outcome, precision: Precision) -> Response<Body> {
     let mut response = Response::new(Body::default());
     *response.status_mut() = status(outcome);
@@ -185,7 +185,7 @@
     response
 }
 
-/// Reads the outcome that a serving node tells; none for a whole answer.
+/// Reads the outcome from a serving node's response; `None` for a complete answer.
 pub fn outcome(headers: &HeaderMap) -> Result<Option<Outcome>, Malformed> {
     let text = |name: HeaderName| headers.get(name).and_then(|v| v.to_str().ok()).unwrap_or("");
     match text(OUTCOME) {
@@ -200,23 +200,23 @@
     }
 }
 
-/// An answer between nodes without a readable outcome.
+/// A header is missing or cannot be parsed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Malformed;
 
-/// Returns `value` as a header.
+/// Returns `value` as a header value.
 pub fn number(value: u64) -> HeaderValue {
     HeaderValue::from(value)
 }
 
-/// Reads a whole number; none where the header is absent.
+/// Reads an unsigned integer; `None` if the header is absent.
 pub fn read_number(headers: &HeaderMap, name: HeaderName) -> Result<Option<u64>, Malformed> {
     let Some(value) = headers.get(name) else { return Ok(None) };
     let parsed = value.to_str().ok().and_then(|text| text.trim().parse().ok());
     parsed.map(Some).ok_or(Malformed)
 }
 
-/// Tells whether a status promises that a request has not run and never will.
+/// Returns whether a status guarantees that the request was not run and never will be.
 pub fn promises_not_run(status: StatusCode) -> bool {
     matches!(status.as_u16(), 408 | 421 | 429 | 503)
 }
@@ -231,7 +231,7 @@
     }
 }
 
-/// Rounds whole seconds up: a caller must not come too early.
+/// Formats a `Retry-After` value; whole seconds are rounded up, so that callers don't retry early.
 fn seconds(span: Duration, precision: Precision) -> HeaderValue {
     match precision {
         Precision::Seconds => number(span.as_millis().div_ceil(1_000).max(1) as u64),
@@ -242,33 +242,33 @@
     }
 }
 
-/// Returns what a serving node tells of its load.
+/// Formats the load of a serving node.
 pub fn load(load: Load) -> HeaderValue {
     let text = format!("{},{},{}", load.busy, load.waiting, load.bodies);
     HeaderValue::from_str(&text).expect("digits and commas make a header")
 }
 
-/// Reads what a serving node tells of its load; none where it tells nothing that can be read.
+/// Reads the load of a serving node; `None` if the header is absent or cannot be parsed.
 pub fn read_load(headers: &HeaderMap) -> Option<Load> {
     let mut parts = headers.get(LOAD)?.to_str().ok()?.split(',').map(str::parse);
     let mut next = || parts.next()?.ok();
     let (busy, waiting) = (next()?, next()?);
-    // Older nodes tell nothing of bodies.
+    // Older nodes don't send the number of bodies.
     Some(Load { busy, waiting, bodies: next().unwrap_or(0) })
 }
 
-/// Returns the text of a header.
+/// Returns the value of a header as text; `None` if absent or not ASCII.
 pub(crate) fn header_text(headers: &HeaderMap, name: HeaderName) -> Option<&str> {
     headers.get(name)?.to_str().ok()
 }
 
-/// Returns the host that a request names, without a port and in lower case.
+/// Returns the `Host` of a request in lower case, without its port; empty if absent.
 pub(crate) fn host(headers: &HeaderMap) -> String {
     let host = header_text(headers, header::HOST).unwrap_or("");
     host.split(':').next().unwrap_or("").to_ascii_lowercase()
 }
 
-/// Returns the outcome that an answer tells, as one of the constants.
+/// Maps the value of [`OUTCOME`] to one of the constants; `not-run` if unknown.
 pub(crate) fn known_outcome(outcome: Option<&str>) -> &'static str {
     match outcome {
         Some(ANSWERED) => ANSWERED,
@@ -277,7 +277,7 @@
     }
 }
 
-/// Returns the sum of all names and values, in bytes.
+/// Returns the total size of all names and values, in bytes.
 pub(crate) fn size(headers: &HeaderMap) -> usize {
     headers.iter().map(|(name, value)| name.as_str().len() + value.len()).sum()
 }
