--- a/crates/traffic/tests/claims.rs
+++ b/crates/traffic/tests/claims.rs
@@ -1,4 +1,4 @@
-//! What is decided just before a call is run: cancellation, leaving, pauses, slots, whole uploads.
+//! Tests of the final checks before a call runs: cancellation, draining, pauses, slots, uploads.
 
 mod rig;
 
@@ -19,10 +19,9 @@
     vec![Settings { slots: 1, ..Settings::default() }]
 }
 
-/// A cancelled order is cooked all the same: its caller had gone while it waited for a slot, and
-/// nobody looked before running it.
+/// Guards against running a call whose caller disconnected while it waited for a slot.
 #[test]
-fn a_cancelled_call_does_not_run() {
+fn a_call_cancelled_in_the_queue_does_not_run() {
     let rig = Rig::new(one_slot(), PROFILE);
     rig.upstreams[0].set_work(Duration::from_secs(2));
     let entry = rig.entry.traffic;
@@ -40,8 +39,7 @@
     assert_eq!((rig.runs("second"), rig.runs("third")), (0, 1));
 }
 
-/// An upstream's only slot stays taken for ever, because the caller of the call that held it went
-/// away while it ran.
+/// Guards against a slot that leaks when the caller disconnects while its call runs.
 #[test]
 fn a_call_cancelled_while_it_runs_frees_its_slot() {
     let rig = Rig::new(one_slot(), PROFILE);
@@ -57,9 +55,9 @@
     assert_eq!(rig.call(&Call::post("/paydesk/a", "second")).outcome(), "answered");
 }
 
-/// The upstream never sees more calls at once than it has slots, whoever sends them.
+/// Guards against more concurrent calls than the upstream has slots.
 #[test]
-fn slots_are_never_exceeded() {
+fn concurrent_calls_never_exceed_the_slots() {
     let rig = Rig::new(vec![Settings { slots: 3, ..Settings::default() }], PROFILE);
     rig.upstreams[0].set_work(Duration::from_millis(5));
     let entry = rig.entry.traffic;
@@ -81,9 +79,9 @@
     assert_eq!(ledger.shed, 0);
 }
 
-/// A planned stop cuts a payment in flight, or a new one slips in behind it.
+/// Guards against a drain that aborts a call in flight or admits a new one.
 #[test]
-fn a_leaving_node_finishes_its_work_and_takes_no_more() {
+fn a_draining_node_finishes_calls_in_flight_and_refuses_new_ones() {
     let rig = Rig::new(one_slot(), PROFILE);
     rig.upstreams[0].set_work(Duration::from_millis(300));
     let entry = rig.entry.traffic;
@@ -98,44 +96,43 @@
     assert_eq!((first.outcome(), rig.runs("second")), ("answered", 0));
 }
 
-/// A request that waited in the buffers of a paused process is refused, and provably not run.
+/// Guards against running a request that waited in a buffer while the process was paused.
 #[test]
-fn a_paused_node_runs_nothing_that_may_be_old() {
+fn a_paused_node_refuses_requests_that_may_be_stale() {
     let rig = Rig::new(vec![Settings::default()], PROFILE);
     rig.stop_ticks();
-    // The beats of this rig count as missing after three seconds.
+    // The rig's pause detector reports a pause after three seconds without a tick.
     std::thread::sleep(Duration::from_millis(3_200));
     let answer = rig.call(&Call::post("/paydesk/a", "old"));
     assert_eq!((answer.outcome(), answer.header("baobab-cause")), ("not-run", "paused"));
     assert_eq!(rig.runs("old"), 0);
 }
 
-/// Sends raw bytes to the entry node and returns the first line of the answer.
-fn raw(rig: &Rig, bytes: &[u8]) -> String {
+/// Sends raw bytes to the entry node and returns the status line of the response.
+fn exchange_raw(rig: &Rig, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(rig.entry.traffic).expect("the node listens");
     stream.write_all(bytes).expect("the node reads");
     stream.shutdown(Shutdown::Write).expect("the connection is open");
     let mut answer = String::new();
-    // A node may reset the connection after its answer, with unread bytes left.
+    // A node may reset the connection after its response if bytes are left unread.
     let _ = stream.read_to_string(&mut answer);
     answer.lines().next().unwrap_or("").to_owned()
 }
 
-/// A pharmacy's sales file vanishes mid-upload: half of it arrived, was taken for the whole, and
-/// was answered with success.
+/// Guards against forwarding a truncated upload as if it were complete.
 #[test]
-fn a_cut_off_upload_is_never_passed_on() {
+fn a_truncated_upload_is_never_forwarded() {
     let rig = Rig::new(vec![Settings::default()], PROFILE);
     let cut = b"POST /paydesk/sales HTTP/1.1\r\nhost: n\r\nx-work: file\r\ncontent-length: 500\r\n\r\nhalf";
-    assert!(!raw(&rig, cut).contains(" 200 "));
+    assert!(!exchange_raw(&rig, cut).contains(" 200 "));
     let chunked = b"POST /paydesk/sales HTTP/1.1\r\nhost: n\r\nx-work: file\r\ntransfer-encoding: chunked\r\n\r\n4\r\nhalf\r\n";
-    assert!(!raw(&rig, chunked).contains(" 200 "));
+    assert!(!exchange_raw(&rig, chunked).contains(" 200 "));
     assert_eq!(rig.call(&Call::get("/paydesk/sales")).outcome(), "answered");
     assert_eq!(rig.runs("file"), 0);
 }
 
 #[test]
-fn large_and_slow_uploads_are_refused_with_a_clear_answer() {
+fn large_and_slow_uploads_are_refused_with_413_and_408() {
     let rig = Rig::new(vec![Settings::default()], PROFILE);
     let large = Call { body: vec![b'x'; 1_001].into(), ..Call::post("/paydesk/sales", "large") };
     let answer = rig.call(&large);
@@ -150,9 +147,9 @@
     assert_eq!((rig.runs("large"), rig.runs("slow")), (0, 0));
 }
 
-/// Headers by which nodes speak to each other cannot be forged by an upstream or a caller.
+/// Guards against internal headers that an upstream or a caller forges.
 #[test]
-fn an_upstreams_own_headers_do_not_pass_for_the_nodes() {
+fn internal_headers_from_an_upstream_are_replaced() {
     let rig = Rig::new(vec![Settings::default()], PROFILE);
     let answer = rig.call(&Call::get("/paydesk/x"));
     assert_eq!(answer.header("baobab-id"), "");
--- a/crates/traffic/tests/cluster/mod.rs
+++ b/crates/traffic/tests/cluster/mod.rs
@@ -1,7 +1,6 @@
-//! Nodes that route by host and path, beside upstreams that follow a script, and callers that write
-//! bytes as they please.
+//! Nodes that route by host and path, scripted upstreams, and callers that send raw bytes.
 
-// Each test file uses its own part of this module.
+// Each test file uses only a part of this module.
 #![allow(dead_code)]
 
 use fleet::{
@@ -24,43 +23,43 @@
 use tokio::runtime::{Builder, Runtime};
 use traffic::{Clock, Door, Listener, Proxy, Settings, Tuning, wire::Names};
 
-/// Time after which a test gives up; no verdict depends on it otherwise.
+/// Time limit of a waiting test; results don't depend on it otherwise.
 pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
 
-/// What an upstream does with a request.
+/// How a scripted upstream handles a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Behaviour {
-    /// Answers 200 with everything that belongs to an answer.
+    /// Answers 200 with all expected headers.
     Answer,
-    /// Waits and answers then.
+    /// Answers after this time.
     Slowly(Duration),
-    /// Answers once it has seen so many requests.
+    /// Answers once this many requests have arrived.
     Batch(usize),
-    /// Reads the request and says nothing.
+    /// Reads the request and does not answer.
     Silent,
-    /// Says that it has not run the request.
+    /// Refuses the request, marked as not run.
     Refuse,
-    /// Says that another upstream is meant.
+    /// Answers 421 with the identity of another upstream.
     Other,
-    /// Answers 503 without saying that it has not run.
+    /// Answers 503 without the mark of a refusal.
     Unmarked,
-    /// Answers 200 without its mark.
+    /// Answers 200 without its stamp.
     Unstamped,
     /// Answers 200 with the id of another request.
     Crossed,
     /// Answers 500.
     Fail,
-    /// Answers 200 without a length and ends the connection.
+    /// Answers 200 without a length and closes the connection.
     Unframed,
-    /// Answers 400 before it has read the body, and reads on.
+    /// Answers 400 before it has read the body, and continues to read.
     Early,
     /// Closes the connection.
     Close,
-    /// Ends as a process does: nobody listens any more, and every connection is closed.
+    /// Crashes: closes the listener and every connection.
     Crash,
 }
 
-/// A request as an upstream saw it.
+/// A request that an upstream received.
 #[derive(Clone, Debug)]
 pub(crate) struct Seen {
     pub(crate) head: String,
@@ -73,7 +72,7 @@
     }
 }
 
-/// Returns a header of a request or an answer.
+/// Returns a header of a request or a response.
 pub(crate) fn header<'a>(text: &'a str, name: &str) -> Option<&'a str> {
     text.lines().skip(1).find_map(|line| {
         let (found, value) = line.split_once(':')?;
@@ -87,9 +86,9 @@
     pub(crate) address: SocketAddr,
     behaviour: Arc<Mutex<Behaviour>>,
     seen: Arc<Mutex<Vec<Seen>>>,
-    /// Open connections; none of a process that has ended.
+    /// Open connections; `None` after a crash.
     open: Arc<Mutex<Option<Vec<TcpStream>>>>,
-    /// The connection of a process that has ended that is still open.
+    /// The connection that is left open after a crash.
     held: Arc<Mutex<Option<TcpStream>>>,
 }
 
@@ -107,13 +106,13 @@
         upstream
     }
 
-    /// Starts again at the address of the process that ended, and answers.
+    /// Restarts after a crash at the same address, answering requests.
     pub(crate) fn restart(&self) {
         let begun = Instant::now();
         let listener = loop {
             match TcpListener::bind(self.address) {
                 Ok(listener) => break listener,
-                Err(error) => assert!(begun.elapsed() < PATIENCE, "no start: {error}"),
+                Err(error) => assert!(begun.elapsed() < PATIENCE, "cannot bind: {error}"),
             }
             thread::sleep(Duration::from_millis(2));
         };
@@ -130,18 +129,18 @@
                     return;
                 }
                 let server = server.clone();
-                thread::spawn(move || server.attend(stream));
+                thread::spawn(move || server.handle(stream));
             }
         });
     }
 
-    fn attend(&self, mut stream: TcpStream) {
+    fn handle(&self, mut stream: TcpStream) {
         self.serve(&mut stream);
-        // The handle that is kept for the end of the process keeps the connection open otherwise.
+        // The cloned handle in `open` would keep the connection open.
         let _ = stream.shutdown(Shutdown::Both);
     }
 
-    /// Notes a connection; returns whether the process has not ended.
+    /// Registers a connection; returns `false` after a crash.
     fn admit(&self, stream: &TcpStream) -> bool {
         let mut open = self.open.lock().expect("no test panics here");
         let Some(open) = open.as_mut() else { return false };
@@ -149,7 +148,7 @@
         true
     }
 
-    /// Closes the listener and all connections but the last, as if that one's end were read later.
+    /// Crashes, but leaves the last connection open, as if its end were noticed later.
     pub(crate) fn crash_but_one(&self) {
         let mut open = self.open.lock().expect("no test panics here");
         let mut streams = open.take().unwrap_or_default();
@@ -158,6 +157,7 @@
         self.close(streams);
     }
 
+    /// Crashes: closes the listener and every connection.
     pub(crate) fn crash(&self) {
         let mut open = self.open.lock().expect("no test panics here").take().unwrap_or_default();
         open.extend(self.held.lock().expect("no test panics here").take());
@@ -165,7 +165,7 @@
     }
 
     fn close(&self, open: Vec<TcpStream>) {
-        // The connection wakes the listener, which finds that it is to close.
+        // Wakes the accept loop, which then exits.
         let _ = TcpStream::connect(self.address);
         for stream in open {
             let _ = stream.shutdown(Shutdown::Both);
@@ -240,7 +240,7 @@
     format!("HTTP/1.1 {head}{length}\r\nbody").into_bytes()
 }
 
-/// Some nodes of service "paydesk", each beside an upstream; all of them entry nodes as well.
+/// Nodes of service "paydesk", each with a colocated upstream; all are entry nodes as well.
 pub(crate) struct Cluster {
     pub(crate) runtime: Runtime,
     pub(crate) proxies: Vec<Arc<Proxy>>,
@@ -286,7 +286,7 @@
 }
 
 impl Cluster {
-    /// Starts `count` nodes with `slots` slots each, and puts the routes into force.
+    /// Starts `count` nodes with `slots` slots each and configures the routes.
     pub(crate) fn new(count: usize, slots: usize) -> Self {
         let cluster = Cluster::without_config(count, slots);
         for proxy in &cluster.proxies {
@@ -295,7 +295,7 @@
         cluster
     }
 
-    /// Starts nodes that hold no configuration.
+    /// Starts nodes without a configuration.
     pub(crate) fn without_config(count: usize, slots: usize) -> Self {
         let runtime = Builder::new_multi_thread()
             .worker_threads(4)
@@ -328,7 +328,7 @@
 
     fn start(&mut self, number: usize, slots: usize) -> (SocketAddr, SocketAddr) {
         let settings = Settings {
-            address: own(number),
+            address: node_address(number),
             service: "paydesk".to_owned(),
             upstream: self.upstreams[number].address,
             slots,
@@ -338,7 +338,7 @@
                 budget: Some(policy::budget::Settings::default()),
                 ..Tuning::default()
             },
-            // A busy machine must not look like a pause.
+            // Long enough that load on the machine isn't detected as a pause.
             pause: policy::pause::Settings { gap: PATIENCE, ..policy::pause::Settings::default() },
             ..Settings::default()
         };
@@ -357,19 +357,18 @@
         addresses
     }
 
-    /// Shows the node `viewer` the upstream beside node `number` as a life that began at
-    /// `started_ms`.
+    /// Sets the start of the upstream of node `number` in the view of node `viewer`.
     pub(crate) fn show_incarnation(&self, viewer: usize, number: usize, started_ms: u64) {
         self.show(viewer, number, |upstream| upstream.started_ms = Some(started_ms));
     }
 
-    /// Shows the node `viewer` another entry of the upstream beside node `number`.
+    /// Changes the entry of the upstream of node `number` in the view of node `viewer`.
     pub(crate) fn show(&self, viewer: usize, number: usize, change: impl Fn(&mut Listed)) {
         let known = self.proxies[viewer].view();
         let mut view = View::default();
         for (service, upstream) in known.iter() {
             let mut upstream = upstream.clone();
-            if upstream.address == own(number) {
+            if upstream.address == node_address(number) {
                 change(&mut upstream);
             }
             view.add(service, upstream);
@@ -377,12 +376,12 @@
         self.proxies[viewer].set_view(Arc::new(view));
     }
 
-    /// Sends `request` to a node on a new connection and returns what comes until it ends.
+    /// Sends `request` to a node on a new connection and returns the response.
     pub(crate) fn exchange(&self, node: usize, request: &str) -> String {
         let mut stream = self.connect(node);
         stream.write_all(request.as_bytes()).expect("the node reads");
         let mut text = String::new();
-        // A reset ends the text as well; what was read before it counts.
+        // A reset also ends the response; what was read before it is returned.
         let _ = stream.read_to_string(&mut text);
         text
     }
@@ -393,7 +392,7 @@
         stream
     }
 
-    /// Returns all requests that upstreams saw, in no order.
+    /// Returns all requests that upstreams received, grouped by upstream.
     pub(crate) fn seen(&self) -> Vec<Seen> {
         self.upstreams.iter().flat_map(Upstream::seen).collect()
     }
@@ -401,18 +400,18 @@
     pub(crate) fn wait(&self, done: impl Fn() -> bool) {
         let begun = Instant::now();
         while !done() {
-            assert!(begun.elapsed() < PATIENCE, "waited in vain");
+            assert!(begun.elapsed() < PATIENCE, "condition not met in time");
             thread::sleep(Duration::from_millis(2));
         }
     }
 }
 
-/// Returns the status of an answer; empty where there is none.
+/// Returns the status of a response; empty if there is none.
 pub(crate) fn status(answer: &str) -> &str {
     answer.split(' ').nth(1).unwrap_or("")
 }
 
-/// Returns a request that asks for the connection to end with its answer.
+/// Returns a request with `Connection: close`.
 pub(crate) fn request(method: &str, path: &str, extra: &str, body: &str) -> String {
     format!(
         "{method} {path} HTTP/1.1\r\nhost: shop.example\r\nx-id: r1\r\nx-deadline: 3000\r\n\
@@ -421,13 +420,13 @@
     )
 }
 
-fn own(number: usize) -> SocketAddr {
+fn node_address(number: usize) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 2], 7_000 + number as u16))
 }
 
 fn upstream(number: usize, traffic: SocketAddr, slots: usize) -> Listed {
     Listed {
-        address: own(number),
+        address: node_address(number),
         traffic,
         instance: format!("i-{number}"),
         incarnation: 1,
--- a/crates/traffic/tests/node_faults.rs
+++ b/crates/traffic/tests/node_faults.rs
@@ -1,4 +1,4 @@
-//! The fault matrix of calls between entry and serving node.
+//! Fault injection between entry node and serving node.
 
 mod rig;
 
@@ -13,7 +13,7 @@
 
 const PROFILE: &str = r#"{"deadline_ms": 700}"#;
 
-/// What a serving node does wrong.
+/// Fault of a serving node.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     CloseAtOnce,
@@ -26,19 +26,19 @@
     Nonsense,
 }
 
-/// Starts a serving node that has `fault`; it counts no work, so "unknown" is all that is proved.
+/// Starts a fake serving node with `fault`; it runs no calls.
 fn broken_node(fault: Fault) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
     let address = listener.local_addr().expect("the listener has an address");
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            thread::spawn(move || misbehave(stream, fault));
+            thread::spawn(move || serve_with(stream, fault));
         }
     });
     address
 }
 
-fn misbehave(mut stream: TcpStream, fault: Fault) {
+fn serve_with(mut stream: TcpStream, fault: Fault) {
     if matches!(fault, Fault::CloseAtOnce) {
         return;
     }
@@ -62,8 +62,8 @@
     let _ = stream.write_all(answer.as_bytes());
 }
 
-/// Makes one post through a broken serving node; returns what the caller is told.
-fn told(fault: Fault) -> String {
+/// Posts one call through a faulty serving node; returns the outcome that the caller receives.
+fn outcome_with(fault: Fault) -> String {
     let rig = Rig::new(vec![], PROFILE);
     rig.set_view(&[record(0, broken_node(fault), State::Live)]);
     rig.call(&Call::post("/paydesk/payments", "pay")).outcome().to_owned()
@@ -71,13 +71,12 @@
 
 #[track_caller]
 fn check(fault: Fault, outcome: &str) {
-    assert_eq!(told(fault), outcome, "{fault:?}");
+    assert_eq!(outcome_with(fault), outcome, "{fault:?}");
 }
 
-/// A lost cover bills a guest wrongly: the auditor was told that logging it had not been run, when
-/// the serving node had it and only its answer was lost.
+/// Guards against `not-run` for a call that a serving node may have received.
 #[test]
-fn a_call_handed_over_is_not_called_not_run() {
+fn a_forwarded_call_without_a_valid_answer_is_unknown() {
     check(Fault::CloseAfterReading, "unknown");
     check(Fault::Silent, "unknown");
     check(Fault::NoOutcome, "unknown");
@@ -87,16 +86,16 @@
     check(Fault::NotRun, "not-run");
 }
 
-/// A node that closes before it reads has run nothing. Whether the entry node had begun to write is
-/// a matter of chance, so either word is true; a whole answer would not be.
+/// Guards against an invented answer. Either outcome is correct: whether the entry node had begun to
+/// write when the connection closed depends on timing.
 #[test]
-fn a_connection_closed_at_once_gives_no_answer() {
-    let told = told(Fault::CloseAtOnce);
-    assert!(told == "not-run" || told == "unknown", "{told}");
+fn a_connection_closed_at_once_is_not_answered() {
+    let outcome = outcome_with(Fault::CloseAtOnce);
+    assert!(outcome == "not-run" || outcome == "unknown", "{outcome}");
 }
 
 #[test]
-fn a_read_moves_on_from_a_broken_node() {
+fn an_idempotent_call_is_retried_at_another_node() {
     for fault in [Fault::CloseAtOnce, Fault::Silent, Fault::OtherId, Fault::CutShort, Fault::NotRun]
     {
         let rig = Rig::new(vec![Settings::default()], PROFILE);
@@ -109,7 +108,7 @@
 }
 
 #[test]
-fn a_dead_node_is_not_run() {
+fn a_call_to_a_closed_port_is_not_run() {
     let rig = Rig::new(vec![], PROFILE);
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
     let address = listener.local_addr().expect("the listener has an address");
@@ -118,22 +117,21 @@
     assert_eq!(rig.call(&Call::post("/paydesk/payments", "pay")).outcome(), "not-run");
 }
 
-/// A payment reaches an upstream of another shop: the address of a replaced instance now belongs
-/// to a new life, and the entry node had not heard of it.
+/// Guards against running a call at a new incarnation that reuses the address of the intended node.
 #[test]
-fn an_offer_to_a_former_life_is_refused() {
+fn an_offer_to_a_previous_incarnation_is_refused() {
     let rig = Rig::new(vec![Settings::default()], PROFILE);
-    let mut former = record(0, rig.nodes[0].traffic, State::Live);
-    former.incarnation -= 1;
-    rig.set_view(&[former]);
+    let mut previous = record(0, rig.nodes[0].traffic, State::Live);
+    previous.incarnation -= 1;
+    rig.set_view(&[previous]);
     let answer = rig.call(&Call::post("/paydesk/payments", "pay"));
     assert_eq!((answer.outcome(), answer.header("baobab-cause")), ("not-run", "replaced"));
     assert_eq!(rig.runs("pay"), 0);
 }
 
-/// Nothing goes to an upstream that is leaving, out of reach or unknown, even if it is the last.
+/// Guards against calls to upstreams that are leaving, unreachable or gone, even if there is no other.
 #[test]
-fn a_service_without_able_upstreams_has_its_own_answer() {
+fn a_service_without_available_upstreams_is_refused_with_503() {
     let rig = Rig::new(vec![Settings::default()], PROFILE);
     for state in [State::Leaving, State::Unreachable, State::Gone] {
         rig.set_view(&[record(0, rig.nodes[0].traffic, state)]);
--- a/crates/traffic/tests/rig/mod.rs
+++ b/crates/traffic/tests/rig/mod.rs
@@ -1,6 +1,6 @@
-//! Entry and serving nodes in one process, with stand-ins for upstreams and no control thread.
+//! Entry and serving nodes in one process, with fake upstreams and without control threads.
 
-// Each test file uses its own part of this module.
+// Each test file uses only a part of this module.
 #![allow(dead_code)]
 
 use fleet::{
@@ -28,19 +28,19 @@
 use tokio::runtime::{Builder, Runtime};
 use traffic::{Clock, Listener, Proxy, Settings, Tuning};
 
-/// Time after which a test that waits for something gives up; no verdict depends on it otherwise.
+/// Time limit of a waiting test; results don't depend on it otherwise.
 pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
 
-/// The life of every node.
+/// Incarnation of every node.
 pub(crate) const INCARNATION: u64 = 7;
 
-/// A node without control thread.
+/// A node without a control thread.
 pub(crate) struct Node {
     pub(crate) proxy: Arc<Proxy>,
     pub(crate) traffic: SocketAddr,
 }
 
-/// Some nodes, each beside an upstream of service "paydesk", and one entry node without one.
+/// Nodes, each with a colocated upstream of service "paydesk", and an entry node without one.
 pub(crate) struct Rig {
     pub(crate) runtime: Runtime,
     pub(crate) entry: Node,
@@ -50,7 +50,7 @@
 }
 
 impl Rig {
-    /// Starts one node per upstream; all run under `profile`.
+    /// Starts one node per upstream, all configured with `profile`.
     pub(crate) fn new(upstreams: Vec<upstream::Settings>, profile: &str) -> Self {
         let runtime = Builder::new_multi_thread()
             .worker_threads(4)
@@ -87,7 +87,7 @@
         rig
     }
 
-    /// Puts a profile into force at every node.
+    /// Configures every node with a profile.
     pub(crate) fn set_profile(&self, profile: &str) {
         let document = |key: &str, text: &str| Document {
             key: key.to_owned(),
@@ -105,12 +105,12 @@
         }
     }
 
-    /// Shows these records to the entry node.
+    /// Sets the view of the entry node.
     pub(crate) fn set_view(&self, records: &[Record]) {
         self.entry.proxy.set_view(Arc::new(View::new(records.iter(), "ktm-a")));
     }
 
-    /// Stops the beats that prove that the process runs, as a pause would.
+    /// Stops the ticks of the pause detectors, as a pause of the process would.
     pub(crate) fn stop_ticks(&self) {
         self.ticking.store(false, Ordering::SeqCst);
     }
@@ -122,16 +122,16 @@
             .expect("a node answers every whole request")
     }
 
-    /// Returns how often `work` was begun, at all upstreams together.
+    /// Returns how often `work` was started, over all upstreams.
     pub(crate) fn runs(&self, work: &str) -> u32 {
         self.upstreams.iter().filter_map(|u| u.ledger().begun.get(work).copied()).sum()
     }
 
-    /// Waits until `done`.
+    /// Waits until `done` returns `true`.
     pub(crate) fn wait(&self, done: impl Fn() -> bool) {
         let begun = Instant::now();
         while !done() {
-            assert!(begun.elapsed() < PATIENCE, "waited in vain");
+            assert!(begun.elapsed() < PATIENCE, "condition not met in time");
             thread::sleep(Duration::from_millis(2));
         }
     }
@@ -156,10 +156,10 @@
     }
 }
 
-/// Returns a record of a node of "paydesk".
+/// Returns the membership record of a node of "paydesk".
 pub(crate) fn record(number: usize, traffic: SocketAddr, state: State) -> Record {
     Record {
-        address: own(number),
+        address: node_address(number),
         traffic,
         instance: format!("paydesk-{number}"),
         service: "paydesk".to_owned(),
@@ -170,20 +170,20 @@
     }
 }
 
-fn own(number: usize) -> SocketAddr {
+fn node_address(number: usize) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 2], 7_000 + number as u16))
 }
 
 fn start(runtime: &Runtime, number: usize, upstream: SocketAddr, slots: usize) -> Node {
     let settings = Settings {
-        address: own(number),
+        address: node_address(number),
         incarnation: Some(INCARNATION),
         service: "paydesk".to_owned(),
         upstream,
         slots,
         tuning: Tuning { connect_timeout: Duration::from_secs(2), ..Tuning::default() },
         max_connections: 256,
-        // A busy machine must not look like a pause; the test of pauses stops the beats for good.
+        // Long enough that load on the machine isn't detected as a pause.
         pause: policy::pause::Settings {
             gap: Duration::from_secs(3),
             ..policy::pause::Settings::default()
--- a/crates/traffic/tests/silent_connections.rs
+++ b/crates/traffic/tests/silent_connections.rs
@@ -1,4 +1,4 @@
-//! Connections that something between the two ends has forgotten, while new ones work.
+//! Tests with a middlebox that drops the state of established connections.
 
 mod rig;
 
@@ -21,7 +21,7 @@
 
 const PROFILE: &str = r#"{"deadline_ms": 1500, "idle_ms": 3000}"#;
 
-/// A middlebox between two ends. Connections made before [`Middlebox::drop_state`] swallow every byte.
+/// A TCP relay. Bytes on connections made before [`Middlebox::drop_state`] are discarded silently.
 struct Middlebox {
     address: SocketAddr,
     generation: Arc<AtomicUsize>,
@@ -63,7 +63,7 @@
     }
 }
 
-/// Six connections through a middlebox are kept, and then forgotten by it.
+/// Returns a rig with six pooled connections through a middlebox that has dropped their state.
 fn rig_behind_middlebox() -> (Rig, Middlebox) {
     let work = Duration::from_millis(60);
     let rig = Rig::new(vec![Settings { work, ..Settings::default() }], PROFILE);
@@ -84,28 +84,25 @@
     (rig, middlebox)
 }
 
-/// A payment of the early morning stays without an outcome: it went out on a connection from the
-/// evening before, which a router had forgotten.
+/// Guards against a non-idempotent call with an unknown outcome because it reused an old connection.
 #[test]
-fn a_payment_does_not_go_on_an_old_connection() {
+fn a_non_idempotent_call_does_not_reuse_an_old_connection() {
     let (rig, _device) = rig_behind_middlebox();
     thread::sleep(Duration::from_millis(3_100));
     let answer = rig.call(&Call::post("/paydesk/pay", "early"));
     assert_eq!((answer.outcome(), rig.runs("early")), ("answered", 1));
 }
 
-/// A read on a connection that went silent a moment ago is repeated on a new one, even where no
-/// other upstream is left.
+/// Guards against an idempotent call that fails on a recent dead connection to the only upstream.
 #[test]
-fn a_read_on_a_silent_connection_is_repeated_on_a_new_one() {
+fn an_idempotent_call_on_a_dead_connection_is_retried_on_a_new_one() {
     let (rig, _device) = rig_behind_middlebox();
     assert_eq!(rig.call(&Call::get("/paydesk/balance")).outcome(), "answered");
 }
 
-/// What cannot be prevented: a payment on a connection that went silent a moment ago has no
-/// outcome. It must be told so, and the next one must not meet the same connection.
+/// Guards against a wrong outcome on a recent dead connection, and against reuse of the others.
 #[test]
-fn a_payment_on_a_connection_that_just_went_silent_is_unknown() {
+fn a_non_idempotent_call_on_a_recent_dead_connection_is_unknown() {
     let (rig, _device) = rig_behind_middlebox();
     let answer = rig.call(&Call::post("/paydesk/pay", "lost"));
     assert_eq!((answer.outcome(), rig.runs("lost")), ("unknown", 0));
--- a/crates/traffic/tests/stages.rs
+++ b/crates/traffic/tests/stages.rs
@@ -1,8 +1,4 @@
-//! A call passes the stages of this crate in one order, and imports follow it.
-//!
-//! Story: a stage takes a shortcut to one above it. Nothing fails, but after a few more nobody can
-//! change a stage without reading all of them, and the next fault of the claim is looked for in
-//! sixteen files.
+//! Checks the layering of this crate's modules: each imports only modules of lower layers.
 
 use std::{
     collections::BTreeSet,
@@ -10,8 +6,8 @@
     path::{Path, PathBuf},
 };
 
-/// Modules of the crate; each imports only those that come after it.
-const ORDER: [&str; 14] = [
+/// Modules from the top layer to the bottom; each imports only those that follow.
+const LAYERS: [&str; 14] = [
     "intake",
     "routing",
     "entry",
@@ -29,15 +25,15 @@
 ];
 
 fn rank(module: &str) -> usize {
-    let rank = ORDER.iter().position(|known| *known == module);
-    rank.unwrap_or_else(|| panic!("the order of stages does not name {module}"))
+    let rank = LAYERS.iter().position(|known| *known == module);
+    rank.unwrap_or_else(|| panic!("module {module} is missing from LAYERS"))
 }
 
 fn source() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("src")
 }
 
-/// Returns every source file below `folder`.
+/// Returns all source files below `folder`.
 fn files(folder: &Path) -> Vec<PathBuf> {
     let mut all = Vec::new();
     for entry in fs::read_dir(folder).expect("the sources are readable") {
@@ -51,23 +47,23 @@
     all
 }
 
-/// Returns the module directly below the crate that `file` belongs to.
+/// Returns the top-level module that `file` belongs to.
 fn module_of(file: &Path) -> String {
     let inner = file.strip_prefix(source()).expect("the file is a source");
     let first = inner.iter().next().expect("the file has a name").to_string_lossy().into_owned();
     first.trim_end_matches(".rs").to_owned()
 }
 
-/// Returns the modules directly below the crate that `text` names by `crate::`.
-fn named(text: &str) -> BTreeSet<String> {
+/// Returns the top-level modules that `text` refers to by `crate::` paths.
+fn imported_modules(text: &str) -> BTreeSet<String> {
     let code: Vec<&str> = text.lines().filter(|line| !line.trim().starts_with("//")).collect();
     let code = code.join("\n");
-    code.split("crate::").skip(1).flat_map(first_names).collect()
+    code.split("crate::").skip(1).flat_map(first_segments).collect()
 }
 
-/// Returns the first names of the paths that `rest` begins with: of one path, or of all in braces.
-fn first_names(rest: &str) -> Vec<String> {
-    let Some(group) = rest.strip_prefix('{') else { return vec![name(rest)] };
+/// Returns the first segments of the path, or of all paths in braces, at the start of `rest`.
+fn first_segments(rest: &str) -> Vec<String> {
+    let Some(group) = rest.strip_prefix('{') else { return vec![first_segment(rest)] };
     let mut names = Vec::new();
     let (mut depth, mut is_first) = (0, true);
     for (at, letter) in group.char_indices() {
@@ -77,7 +73,7 @@
             '}' => depth -= 1,
             ',' if depth == 0 => is_first = true,
             _ if is_first && letter.is_alphabetic() => {
-                names.push(name(&group[at..]));
+                names.push(first_segment(&group[at..]));
                 is_first = false;
             }
             _ => {}
@@ -86,18 +82,18 @@
     names
 }
 
-fn name(path: &str) -> String {
+fn first_segment(path: &str) -> String {
     path.chars().take_while(|letter| letter.is_alphanumeric() || *letter == '_').collect()
 }
 
 #[track_caller]
 fn check(text: &str, expect: &[&str]) {
     let expect: BTreeSet<String> = expect.iter().map(|name| (*name).to_owned()).collect();
-    assert_eq!(named(text), expect, "{text}");
+    assert_eq!(imported_modules(text), expect, "{text}");
 }
 
 #[test]
-fn imports_are_read_as_the_compiler_reads_them() {
+fn imports_are_parsed() {
     check("use crate::hub::Hub;", &["hub"]);
     check("use crate::{\n    hub::{Hub, room::{Held}},\n    wire,\n};", &["hub", "wire"]);
     check(
@@ -109,7 +105,7 @@
 }
 
 #[test]
-fn a_stage_imports_only_what_is_below_it() {
+fn modules_import_only_lower_layers() {
     let mut checked = 0;
     for file in files(&source()) {
         let own = module_of(&file);
@@ -117,8 +113,12 @@
             continue;
         }
         let text = fs::read_to_string(&file).expect("the sources are readable");
-        for other in named(&text).iter().filter(|other| **other != own) {
-            assert!(rank(&own) < rank(other), "{} names {other}", file.display());
+        for other in imported_modules(&text).iter().filter(|other| **other != own) {
+            assert!(
+                rank(&own) < rank(other),
+                "{} imports {other}, which is not in a lower layer",
+                file.display()
+            );
             checked += 1;
         }
     }
