--- a/crates/traffic/src/admission/semaphore.rs
+++ b/crates/traffic/src/admission/semaphore.rs
@@ -20,7 +20,7 @@
 use crate::{clock::Clock, lock::lock};
 
 /// Maximum poll interval of a waiting task; the start or end of a warm-up limit wakes nobody.
-const POLL_INTERVAL: Duration = Duration::from_millis(250);
+const MAX_POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Minimum poll interval of a waiting task, the resolution of timers.
 const MIN_POLL_INTERVAL: Duration = Duration::from_millis(1);
@@ -121,8 +121,8 @@
     /// Returns when a waiting task should check for tokens that became available without a release.
     fn next_poll(&self, now: Time) -> Time {
         let token = self.lock().gate.next_token(now);
-        token.map_or(now + POLL_INTERVAL, |at| {
-            at.max(now + MIN_POLL_INTERVAL).min(now + POLL_INTERVAL)
+        token.map_or(now + MAX_POLL_INTERVAL, |at| {
+            at.max(now + MIN_POLL_INTERVAL).min(now + MAX_POLL_INTERVAL)
         })
     }
 
--- a/crates/traffic/src/entry/choice.rs
+++ b/crates/traffic/src/entry/choice.rs
@@ -29,7 +29,7 @@
         for upstream in &able {
             service.record(upstream, now);
         }
-        let seen = |upstream| Some((upstream, service.seen(upstream)?));
+        let seen = |upstream| Some((upstream, service.existing_record(upstream)?));
         let able: Vec<Seen<'_>> = able.into_iter().map(seen).collect::<Option<_>>()?;
         let chosen = match proxy.settings.incarnation {
             Some(_) => choose_near(call, &able, tried, now),
@@ -77,7 +77,7 @@
 }
 
 fn cold(proxy: &Proxy, warm_up: Option<WarmUp>, upstream: &Upstream, now: Time) -> placement::Cold {
-    match warm_up.and_then(|warm_up| proxy.limit(warm_up, upstream, now)) {
+    match warm_up.and_then(|warm_up| proxy.warm_up_limit(warm_up, upstream, now)) {
         Some(limit) => placement::Cold::Limited(limit.rate),
         None if now < upstream.cold_until => placement::Cold::Slow,
         None => placement::Cold::No,
--- a/crates/traffic/src/proxy.rs
+++ b/crates/traffic/src/proxy.rs
@@ -142,7 +142,7 @@
     /// Replaces the known upstreams, and discards the records of those that are gone.
     pub fn set_view(&self, view: Arc<View>) {
         let before = self.view.swap(view.clone());
-        self.services.follow(&view, &before, self.clock.now());
+        self.services.update(&view, &before, self.clock.now());
         if let Some(slots) = colocated::slots(&view, &self.settings) {
             self.slots.resize(slots);
         }
--- a/crates/traffic/src/proxy/services.rs
+++ b/crates/traffic/src/proxy/services.rs
@@ -29,13 +29,11 @@
 
     /// Removes the records of upstreams that are not in `view`, creates those of new upstreams, and
     /// reinstates upstreams that were unreachable `before`.
-    pub(crate) fn follow(&self, view: &View, before: &View, now: Time) {
+    pub(crate) fn update(&self, view: &View, before: &View, now: Time) {
         let mut services = lock(&self.known);
         for (name, service) in services.iter_mut() {
             let known = view.upstreams(name);
-            let is_known = |known_incarnation: &Incarnation| {
-                known.iter().any(|u| Incarnation::of(u) == *known_incarnation)
-            };
+            let is_known = |key: &Incarnation| known.iter().any(|u| Incarnation::of(u) == *key);
             service.upstreams.retain(|life, record| is_known(life) || record.in_flight() > 0);
         }
         // Slow start begins when an upstream becomes known, not with its first call.
@@ -111,7 +109,7 @@
     }
 
     /// Returns the record of `upstream`, if there is one.
-    pub(crate) fn seen(&self, upstream: &Upstream) -> Option<&Record> {
+    pub(crate) fn existing_record(&self, upstream: &Upstream) -> Option<&Record> {
         self.upstreams.get(&Incarnation::of(upstream))
     }
 }
--- a/crates/traffic/src/proxy/warmup.rs
+++ b/crates/traffic/src/proxy/warmup.rs
@@ -13,7 +13,12 @@
     }
 
     /// Returns the rate limit of an upstream under `warm_up`; `None` if the upstream is warm.
-    pub(crate) fn limit(&self, warm_up: WarmUp, upstream: &Upstream, now: Time) -> Option<Limit> {
+    pub(crate) fn warm_up_limit(
+        &self,
+        warm_up: WarmUp,
+        upstream: &Upstream,
+        now: Time,
+    ) -> Option<Limit> {
         let until = cold_until(upstream, warm_up);
         (now < until).then(|| Limit::new(warm_up, self.tuning().cold_excess, until))
     }
@@ -29,7 +34,7 @@
     fn colocated_limit(&self, warm_up: WarmUp, now: Time) -> Option<Limit> {
         let view = self.view.load();
         let entries = colocated::entries(&view, &self.settings);
-        let limits = entries.filter_map(|upstream| self.limit(warm_up, upstream, now));
+        let limits = entries.filter_map(|upstream| self.warm_up_limit(warm_up, upstream, now));
         limits.max_by_key(|limit| limit.until)
     }
 }
--- a/crates/traffic/src/record.rs
+++ b/crates/traffic/src/record.rs
@@ -129,13 +129,13 @@
     }
 
     fn admits(&self, id: &str, interest: Interest, lines: usize) -> bool {
-        let (allowance, limit) = match interest {
+        let (window, limit) = match interest {
             Interest::Notable => (&self.notable, NOTABLE_LINES),
             Interest::Usual if !xxh3_64(id.as_bytes()).is_multiple_of(SAMPLE) => return false,
             Interest::Usual => (&self.usual, USUAL_LINES),
         };
-        let mut allowance = lock(allowance);
-        let admitted = allowance.take(lines as u32, limit, self.clock.now());
+        let mut window = lock(window);
+        let admitted = window.take(lines as u32, limit, self.clock.now());
         if !admitted {
             self.dropped.fetch_add(lines as u64, Ordering::Relaxed);
         }
--- a/crates/traffic/src/record/events.rs
+++ b/crates/traffic/src/record/events.rs
@@ -9,7 +9,7 @@
 use crate::lock::lock;
 
 /// Maximum number of distinct events between two collections.
-const KINDS_LIMIT: usize = 256;
+const MAX_KINDS: usize = 256;
 
 /// An event of a call or an upstream.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
@@ -33,22 +33,22 @@
 }
 
 impl Counters {
-    pub(crate) fn add(&self, count: Event) {
+    pub(crate) fn add(&self, event: Event) {
         let mut counts = lock(&self.counts);
-        if counts.len() < KINDS_LIMIT || counts.contains_key(&count) {
-            *counts.entry(count).or_default() += 1;
+        if counts.len() < MAX_KINDS || counts.contains_key(&event) {
+            *counts.entry(event).or_default() += 1;
         }
     }
 
     /// Returns the counts since the last call as events.
     pub(crate) fn take(&self) -> Vec<Kind> {
         let counts = std::mem::take(&mut *lock(&self.counts));
-        counts.into_iter().map(|(what, count)| event(what, count)).collect()
+        counts.into_iter().map(|(event, count)| timeline_event(event, count)).collect()
     }
 }
 
-fn event(what: Event, count: u64) -> Kind {
-    match what {
+fn timeline_event(event: Event, count: u64) -> Kind {
+    match event {
         Event::NotRun(service, cause) => Kind::NotRun { service, cause: cause.to_string(), count },
         Event::Unknown(service, doubt) => {
             Kind::Unknown { service, doubt: doubt.to_string(), count }
--- a/crates/traffic/tests/cluster/mod.rs
+++ b/crates/traffic/tests/cluster/mod.rs
@@ -24,7 +24,7 @@
 use traffic::{Clock, Door, Listener, Proxy, Settings, Tuning, wire::Names};
 
 /// Time limit of a waiting test; results don't depend on it otherwise.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
+pub(crate) const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// How a scripted upstream handles a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -61,12 +61,12 @@
 
 /// A request that an upstream received.
 #[derive(Clone, Debug)]
-pub(crate) struct Seen {
+pub(crate) struct Received {
     pub(crate) head: String,
     pub(crate) body: Vec<u8>,
 }
 
-impl Seen {
+impl Received {
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         header(&self.head, name)
     }
@@ -85,7 +85,7 @@
 pub(crate) struct Upstream {
     pub(crate) address: SocketAddr,
     behaviour: Arc<Mutex<Behaviour>>,
-    seen: Arc<Mutex<Vec<Seen>>>,
+    received: Arc<Mutex<Vec<Received>>>,
     /// Open connections; `None` after a crash.
     open: Arc<Mutex<Option<Vec<TcpStream>>>>,
     /// The connection that is left open after a crash.
@@ -98,7 +98,7 @@
         let upstream = Upstream {
             address: listener.local_addr().expect("the listener has an address"),
             behaviour: Arc::new(Mutex::new(Behaviour::Answer)),
-            seen: Arc::default(),
+            received: Arc::default(),
             open: Arc::default(),
             held: Arc::default(),
         };
@@ -112,7 +112,7 @@
         let listener = loop {
             match TcpListener::bind(self.address) {
                 Ok(listener) => break listener,
-                Err(error) => assert!(begun.elapsed() < PATIENCE, "cannot bind: {error}"),
+                Err(error) => assert!(begun.elapsed() < TIMEOUT, "cannot bind: {error}"),
             }
             thread::sleep(Duration::from_millis(2));
         };
@@ -176,29 +176,29 @@
         *self.behaviour.lock().expect("no test panics here") = behaviour;
     }
 
-    pub(crate) fn seen(&self) -> Vec<Seen> {
-        self.seen.lock().expect("no test panics here").clone()
+    pub(crate) fn received(&self) -> Vec<Received> {
+        self.received.lock().expect("no test panics here").clone()
     }
 
     fn serve(&self, stream: &mut TcpStream) {
         let mut buffer = Vec::new();
         while let Some(head) = read_head(stream, &mut buffer) {
             let behaviour = *self.behaviour.lock().expect("no test panics here");
-            let seen = Seen { head, body: Vec::new() };
+            let seen = Received { head, body: Vec::new() };
             if behaviour == Behaviour::Early {
                 let _ = stream.write_all(&answer(&seen, behaviour));
             }
             let length = seen.header("content-length").and_then(|t| t.parse().ok()).unwrap_or(0);
             let Some(body) = read_body(stream, &mut buffer, length) else { return };
-            let seen = Seen { body, ..seen };
-            self.seen.lock().expect("no test panics here").push(seen.clone());
+            let seen = Received { body, ..seen };
+            self.received.lock().expect("no test panics here").push(seen.clone());
             match behaviour {
                 Behaviour::Close => return,
                 Behaviour::Crash => return self.crash(),
-                Behaviour::Silent => thread::sleep(PATIENCE),
+                Behaviour::Silent => thread::sleep(TIMEOUT),
                 Behaviour::Slowly(time) => thread::sleep(time),
                 Behaviour::Batch(count) => {
-                    while self.seen().len() < count {
+                    while self.received().len() < count {
                         thread::sleep(Duration::from_millis(1));
                     }
                 }
@@ -215,7 +215,7 @@
     }
 }
 
-fn answer(seen: &Seen, behaviour: Behaviour) -> Vec<u8> {
+fn answer(seen: &Received, behaviour: Behaviour) -> Vec<u8> {
     let id = seen.header("x-id").unwrap_or_default();
     let stamp = "x-stamp: s1\r\n";
     let head = match behaviour {
@@ -339,7 +339,7 @@
                 ..Tuning::default()
             },
             // Long enough that load on the machine isn't detected as a pause.
-            pause: policy::pause::Settings { gap: PATIENCE, ..policy::pause::Settings::default() },
+            pause: policy::pause::Settings { gap: TIMEOUT, ..policy::pause::Settings::default() },
             ..Settings::default()
         };
         let meter = Arc::new(Meter::new().expect("metrics can be set up"));
@@ -388,19 +388,19 @@
 
     pub(crate) fn connect(&self, node: usize) -> TcpStream {
         let stream = TcpStream::connect(self.callers[node]).expect("the node listens");
-        stream.set_read_timeout(Some(PATIENCE)).expect("the socket takes a timeout");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("the socket takes a timeout");
         stream
     }
 
     /// Returns all requests that upstreams received, grouped by upstream.
-    pub(crate) fn seen(&self) -> Vec<Seen> {
-        self.upstreams.iter().flat_map(Upstream::seen).collect()
+    pub(crate) fn received(&self) -> Vec<Received> {
+        self.upstreams.iter().flat_map(Upstream::received).collect()
     }
 
     pub(crate) fn wait(&self, done: impl Fn() -> bool) {
         let begun = Instant::now();
         while !done() {
-            assert!(begun.elapsed() < PATIENCE, "condition not met in time");
+            assert!(begun.elapsed() < TIMEOUT, "condition not met in time");
             thread::sleep(Duration::from_millis(2));
         }
     }
--- a/crates/traffic/tests/evacuation.rs
+++ b/crates/traffic/tests/evacuation.rs
@@ -20,7 +20,7 @@
     evacuate(&cluster, 1, 1);
     cluster.upstreams[0].set(Behaviour::Refuse);
     assert_eq!(status(&cluster.exchange(0, &request("POST", "/post/a", "", "{}"))), "503");
-    assert!(cluster.upstreams[1].seen().is_empty());
+    assert!(cluster.upstreams[1].received().is_empty());
     cluster.upstreams[0].set(Behaviour::Answer);
     assert_eq!(status(&cluster.exchange(0, &request("POST", "/post/a", "", "{}"))), "200");
 }
@@ -33,7 +33,7 @@
     for _ in 0..8 {
         assert_eq!(status(&cluster.exchange(0, &request("GET", "/read/a", "", ""))), "200");
     }
-    assert!(cluster.upstreams[0].seen().is_empty());
+    assert!(cluster.upstreams[0].received().is_empty());
     take_back(&cluster, 0, 0);
     cluster.upstreams[1].set(Behaviour::Refuse);
     assert_eq!(status(&cluster.exchange(0, &request("GET", "/read/a", "", ""))), "200");
@@ -49,5 +49,5 @@
     assert_eq!(status(&answer), "503");
     assert_eq!(header(&answer, "baobab-cause"), Some("evacuated"));
     assert!(header(&answer, "retry-after").is_some(), "{answer}");
-    assert!(cluster.seen().is_empty());
+    assert!(cluster.received().is_empty());
 }
--- a/crates/traffic/tests/node_faults.rs
+++ b/crates/traffic/tests/node_faults.rs
@@ -49,7 +49,7 @@
     let answer = match fault {
         Fault::CloseAtOnce | Fault::CloseAfterReading => return,
         Fault::Silent => {
-            thread::sleep(rig::PATIENCE);
+            thread::sleep(rig::TIMEOUT);
             return;
         }
         Fault::NoOutcome => format!("HTTP/1.1 200 OK\r\nbaobab-id: {id}\r\ncontent-length: 2\r\n\r\nok"),
--- a/crates/traffic/tests/pipelining.rs
+++ b/crates/traffic/tests/pipelining.rs
@@ -75,12 +75,12 @@
     cluster.upstreams[0].set(Behaviour::Slowly(Duration::from_millis(300)));
     let mut stream = cluster.connect(0);
     stream.write_all((get("r1") + &post("r2") + &get("r3")).as_bytes()).expect("the node reads");
-    cluster.wait(|| !cluster.seen().is_empty());
+    cluster.wait(|| !cluster.received().is_empty());
     thread::sleep(Duration::from_millis(100));
-    assert_eq!(cluster.seen().len(), 1, "only the first may run");
+    assert_eq!(cluster.received().len(), 1, "only the first may run");
     assert_eq!(ids(&mut stream, 3), ["r1", "r2", "r3"]);
     let order: Vec<String> =
-        cluster.seen().iter().filter_map(|s| s.header("x-id").map(str::to_owned)).collect();
+        cluster.received().iter().filter_map(|s| s.header("x-id").map(str::to_owned)).collect();
     assert_eq!(order, ["r1", "r2", "r3"]);
 }
 
@@ -92,7 +92,7 @@
     cluster.upstreams[0].set(Behaviour::Silent);
     let mut stream = cluster.connect(0);
     stream.write_all((get("r1") + &get("r2")).as_bytes()).expect("the node reads");
-    cluster.wait(|| cluster.seen().len() == 2);
+    cluster.wait(|| cluster.received().len() == 2);
     drop(stream);
     cluster.wait(|| cluster.proxies[0].calls_in_flight() == 0);
 }
@@ -116,5 +116,5 @@
             });
         }
     });
-    assert!(cluster.seen().iter().all(|seen| seen.body.len() == body.len()));
+    assert!(cluster.received().iter().all(|seen| seen.body.len() == body.len()));
 }
--- a/crates/traffic/tests/quarantine.rs
+++ b/crates/traffic/tests/quarantine.rs
@@ -54,13 +54,13 @@
 
 #[track_caller]
 fn check_refused(cluster: &Cluster, node: usize, bytes: &str) {
-    let before = cluster.seen().len();
+    let before = cluster.received().len();
     let answer = cluster.exchange(node, bytes);
     assert_eq!(status(&answer), "503", "{answer}");
     assert_eq!(header(&answer, "baobab-cause"), Some("quarantined"));
     let after: f64 = header(&answer, "retry-after").and_then(|t| t.parse().ok()).unwrap_or(0.0);
     assert!(after > HELD as f64 / 2.0, "to come back after {after} s");
-    assert_eq!(cluster.seen().len(), before, "it has not run");
+    assert_eq!(cluster.received().len(), before, "it has not run");
 }
 
 /// Ends the upstream by one request, and brings another one once the first is not to be run.
@@ -85,7 +85,7 @@
     let mut waiting = cluster.connect(0);
     let read = request("GET", "/read/waiting", "", "");
     waiting.write_all(read.as_bytes()).expect("the node reads");
-    cluster.wait(|| cluster.seen().len() == 1);
+    cluster.wait(|| cluster.received().len() == 1);
     cluster.upstreams[0].set(Behaviour::Crash);
     cluster.exchange(0, &request("POST", "/post/fatal?day=2", "", "{}"));
     let mut labels: Vec<String> =
@@ -125,7 +125,7 @@
     let mut left = cluster.connect(0);
     let read = request("GET", "/read/left", "", "");
     left.write_all(read.as_bytes()).expect("the node reads");
-    cluster.wait(|| cluster.seen().len() == 1);
+    cluster.wait(|| cluster.received().len() == 1);
     drop(left);
     cluster.wait(|| cluster.proxies[0].calls_in_flight() == 0);
     cluster.upstreams[0].crash();
@@ -177,10 +177,10 @@
     entry.proxies[0].set_view(Arc::new(view));
     assert_eq!(status(&entry.exchange(0, &request("GET", "/read/y", "", ""))), "200");
     hold(&cluster, 0, fatal);
-    let before = cluster.seen().len();
+    let before = cluster.received().len();
     let answer = entry.exchange(0, &read);
     assert_eq!((status(&answer), header(&answer, "baobab-cause")), ("503", Some("quarantined")));
-    assert_eq!(cluster.seen().len(), before);
+    assert_eq!(cluster.received().len(), before);
 }
 
 /// A copy is sent ahead on a connection that waits for another answer.
@@ -190,12 +190,12 @@
     let read = request("GET", "/read/x", "", "");
     let fatal = crash(&cluster, &read);
     hold(&cluster, 0, fatal);
-    let before = cluster.seen().len();
+    let before = cluster.received().len();
     let first = request("GET", "/read/y", "", "").replace("connection: close\r\n", "");
     let answers = cluster.exchange(0, &format!("{first}{read}"));
     assert_eq!(answers.matches("HTTP/1.1 200").count(), 1, "{answers}");
     assert_eq!(answers.matches("HTTP/1.1 503").count(), 1, "{answers}");
-    assert_eq!(cluster.seen().len(), before + 1);
+    assert_eq!(cluster.received().len(), before + 1);
 }
 
 /// A request waits for a slot while the word comes that it must not run.
@@ -207,8 +207,8 @@
     cluster.upstreams[0].set(Behaviour::Slowly(Duration::from_millis(400)));
     let mut first = cluster.connect(0);
     first.write_all(request("GET", "/read/long/y", "", "").as_bytes()).expect("the node reads");
-    let before = cluster.seen().len();
-    cluster.wait(|| cluster.seen().len() > before);
+    let before = cluster.received().len();
+    cluster.wait(|| cluster.received().len() > before);
     let mut second = cluster.connect(0);
     second.write_all(read.as_bytes()).expect("the node reads");
     cluster.wait(|| cluster.proxies[0].calls_in_flight() >= 3);
@@ -217,7 +217,7 @@
     // A reset ends the text as well.
     let _ = std::io::Read::read_to_string(&mut second, &mut answer);
     assert_eq!(header(&answer, "baobab-cause"), Some("quarantined"), "{answer}");
-    assert_eq!(cluster.seen().len(), before + 1);
+    assert_eq!(cluster.received().len(), before + 1);
 }
 
 /// Two copies ran when the process ended, and the break of one was read later than that of the other: a third of
@@ -229,7 +229,7 @@
     cluster.upstreams[0].set(Behaviour::Silent);
     let mut copies: Vec<_> = (0..2).map(|_| cluster.connect(0)).collect();
     copies.iter_mut().for_each(|c| c.write_all(read.as_bytes()).expect("the node reads"));
-    cluster.wait(|| cluster.seen().len() == 2);
+    cluster.wait(|| cluster.received().len() == 2);
     cluster.upstreams[0].crash_but_one();
     let first = ended(&cluster, 0);
     cluster.upstreams[0].crash();
@@ -249,7 +249,7 @@
         cluster.proxies[0].set_quarantine(suspected(&suspects));
         cluster.upstreams.iter().for_each(|upstream| upstream.set(Behaviour::Close));
         assert_eq!(status(&cluster.exchange(0, &read)), "502");
-        assert_eq!(cluster.seen().len(), runs);
+        assert_eq!(cluster.received().len(), runs);
     }
 }
 
--- a/crates/traffic/tests/restarts.rs
+++ b/crates/traffic/tests/restarts.rs
@@ -14,7 +14,7 @@
     cluster.show_incarnation(1, 1, 200);
     cluster.upstreams[0].set(Behaviour::Refuse);
     assert_eq!(status(&cluster.exchange(0, &request("POST", "/post/a", "", "{}"))), "503");
-    assert!(cluster.upstreams[1].seen().is_empty());
+    assert!(cluster.upstreams[1].received().is_empty());
     cluster.show_incarnation(0, 1, 200);
     assert_eq!(status(&cluster.exchange(0, &request("POST", "/post/a", "", "{}"))), "200");
 }
--- a/crates/traffic/tests/rig/mod.rs
+++ b/crates/traffic/tests/rig/mod.rs
@@ -29,7 +29,7 @@
 use traffic::{Clock, Listener, Proxy, Settings, Tuning};
 
 /// Time limit of a waiting test; results don't depend on it otherwise.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
+pub(crate) const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Incarnation of every node.
 pub(crate) const INCARNATION: u64 = 7;
@@ -131,7 +131,7 @@
     pub(crate) fn wait(&self, done: impl Fn() -> bool) {
         let begun = Instant::now();
         while !done() {
-            assert!(begun.elapsed() < PATIENCE, "condition not met in time");
+            assert!(begun.elapsed() < TIMEOUT, "condition not met in time");
             thread::sleep(Duration::from_millis(2));
         }
     }
--- a/crates/traffic/tests/routed.rs
+++ b/crates/traffic/tests/routed.rs
@@ -23,7 +23,7 @@
     check(&cluster, &elsewhere, "404");
     let with_port = request("GET", "/read/a", "", "").replace("shop.example", "Shop.Example:80");
     check(&cluster, &with_port, "200");
-    assert!(cluster.seen()[0].head.starts_with("GET /read/a?b=1 HTTP/1.1"));
+    assert!(cluster.received()[0].head.starts_with("GET /read/a?b=1 HTTP/1.1"));
 }
 
 /// A node that has just started tells every caller that their route does not exist, and they give
@@ -58,7 +58,7 @@
     for _ in 0..4 {
         check(&cluster, &request("POST", "/post/a", forged, "{}"), "200");
     }
-    for seen in cluster.seen() {
+    for seen in cluster.received() {
         assert_eq!(seen.header("x-caller"), Some("paydesk"));
         assert_eq!(seen.header("x-other"), Some("kept"));
         assert_eq!(seen.header("x-id"), Some("r1"));
@@ -77,7 +77,7 @@
     let cluster = Cluster::new(1, 4);
     let forged = "baobab-nested: 1\r\nbaobab-priority: none\r\nbaobab-started-ms: never\r\n";
     check(&cluster, &request("GET", "/read/a", forged, ""), "200");
-    assert!(!cluster.seen()[0].head.contains("baobab-"), "{}", cluster.seen()[0].head);
+    assert!(!cluster.received()[0].head.contains("baobab-"), "{}", cluster.received()[0].head);
 }
 
 /// A payment is refused by an upstream that is full and by one whose address was taken over. Both
@@ -104,7 +104,7 @@
         let cluster = Cluster::new(2, 4);
         cluster.upstreams.iter().for_each(|upstream| upstream.set(behaviour));
         check(&cluster, &request("POST", "/post/a", "", "{}"), "502");
-        assert_eq!(cluster.seen().len(), 1, "{behaviour:?}");
+        assert_eq!(cluster.received().len(), 1, "{behaviour:?}");
     }
 }
 
@@ -143,7 +143,7 @@
     let cluster = Cluster::new(1, 4);
     cluster.upstreams[0].set(Behaviour::Slowly(Duration::from_millis(1_200)));
     check(&cluster, &request("GET", "/read/a", "", ""), "200");
-    assert_eq!(cluster.seen().len(), 1);
+    assert_eq!(cluster.received().len(), 1);
 }
 
 #[test]
@@ -151,7 +151,7 @@
     let cluster = Cluster::new(2, 4);
     cluster.upstreams.iter().for_each(|u| u.set(Behaviour::Slowly(Duration::from_millis(900))));
     check(&cluster, &request("POST", "/post/a", "", "{}"), "200");
-    assert_eq!(cluster.seen().len(), 1);
+    assert_eq!(cluster.received().len(), 1);
 }
 
 /// The answer to a pharmacy's last lookup never arrives, although it was written: more lookups
@@ -166,7 +166,7 @@
         let one = request("GET", "/read/a", "", "").replace("connection: close\r\n", "");
         let mut stream = cluster.connect(0);
         stream.write_all(one.repeat(30).as_bytes()).expect("the node reads");
-        cluster.wait(|| cluster.seen().len() > round);
+        cluster.wait(|| cluster.received().len() > round);
         cluster.proxies[0].set_ready(false);
         let mut text = String::new();
         let read = std::io::Read::read_to_string(&mut stream, &mut text);
@@ -174,9 +174,9 @@
         assert!(read.is_ok(), "{read:?} after {answers} answers");
         assert!(text.ends_with("body") && answers >= 1, "{text}");
         assert_eq!(text.matches("connection: close").count(), 1);
-        let ran = cluster.seen().len();
+        let ran = cluster.received().len();
         cluster.wait(|| cluster.proxies[0].calls_in_flight() == 0);
-        assert_eq!(cluster.seen().len(), ran);
+        assert_eq!(cluster.received().len(), ran);
     }
 }
 
@@ -189,8 +189,8 @@
     for _ in 0..6 {
         check(&cluster, &request("POST", "/post/big", "", &body), "200");
     }
-    let whole = |seen: &cluster::Seen| seen.body.len() == 100_000;
-    assert!(cluster.seen().iter().all(whole));
+    let whole = |seen: &cluster::Received| seen.body.len() == 100_000;
+    assert!(cluster.received().iter().all(whole));
     let too_large = "x".repeat(200_001);
     check(&cluster, &request("POST", "/post/big", "", &too_large), "413");
 }
@@ -207,7 +207,7 @@
     }
     cluster.upstreams[0].set(Behaviour::Answer);
     check(&cluster, &request("POST", "/post/a", "", "{}"), "200");
-    for seen in cluster.seen() {
+    for seen in cluster.received() {
         assert!(seen.head.starts_with("POST /post/"), "{}", seen.head);
     }
 }
@@ -222,7 +222,7 @@
     let refused = request("GET", "/read/a", "", "").replace("connection: close\r\n", "");
     thread::scope(|scope| {
         scope.spawn(|| cluster.exchange(0, &holding));
-        cluster.wait(|| !cluster.seen().is_empty());
+        cluster.wait(|| !cluster.received().is_empty());
         // The text ends only because the node ends the connection.
         let answer = check(&cluster, &refused, "503");
         assert_eq!(header(&answer, "connection"), Some("close"));
@@ -236,7 +236,7 @@
     cluster.proxies[0].close();
     let answer = check(&cluster, &request("GET", "/read/a", "", ""), "503");
     assert_eq!(header(&answer, "baobab-cause"), Some("leaving"));
-    assert!(cluster.seen().is_empty());
+    assert!(cluster.received().is_empty());
 }
 
 #[test]
@@ -244,7 +244,7 @@
     let cluster = Cluster::new(1, 4);
     let large = format!("x-large: {}\r\n", "x".repeat(20_000));
     check(&cluster, &request("GET", "/read/a", &large, ""), "431");
-    assert!(cluster.seen().is_empty());
+    assert!(cluster.received().is_empty());
     let fitting = format!("x-large: {}\r\n", "x".repeat(10_000));
     check(&cluster, &request("GET", "/read/a", &fitting, ""), "200");
 }
