--- a/crates/traffic/src/proxy.rs
+++ b/crates/traffic/src/proxy.rs
@@ -167,8 +167,8 @@
     }
 
     /// Sets whether callers may send new calls here.
-    pub fn set_ready(&self, open: bool) {
-        self.lifecycle.set_ready(open);
+    pub fn set_ready(&self, ready: bool) {
+        self.lifecycle.set_ready(ready);
     }
 
     /// Returns whether callers may send new calls here.
--- a/crates/traffic/src/proxy/lifecycle.rs
+++ b/crates/traffic/src/proxy/lifecycle.rs
@@ -7,7 +7,7 @@
 pub(crate) struct Lifecycle {
     /// Whether callers may send new calls here.
     ready: AtomicBool,
-    was_ready_once: AtomicBool,
+    has_been_ready: AtomicBool,
     leaving: AtomicBool,
     closed: AtomicBool,
 }
@@ -16,7 +16,7 @@
     /// Sets whether callers may send new calls here.
     pub(crate) fn set_ready(&self, ready: bool) {
         self.ready.store(ready, Ordering::SeqCst);
-        self.was_ready_once.fetch_or(ready, Ordering::SeqCst);
+        self.has_been_ready.fetch_or(ready, Ordering::SeqCst);
     }
 
     /// Returns whether callers may send new calls here.
@@ -26,7 +26,7 @@
 
     /// Returns whether the node was ready at any time.
     pub(crate) fn was_ready(&self) -> bool {
-        self.was_ready_once.load(Ordering::SeqCst)
+        self.has_been_ready.load(Ordering::SeqCst)
     }
 
     /// Stops accepting calls for the colocated upstream.
