--- a/crates/traffic/src/proxy/warmup.rs
+++ b/crates/traffic/src/proxy/warmup.rs
@@ -1,4 +1,4 @@
-//! Which upstreams are cold, and how many calls they get.
+//! Rate limits of cold upstreams.
 
 use fleet::view::Upstream;
 use model::{service::WarmUp, time::Time};
@@ -7,18 +7,23 @@
 use crate::proxy::{Proxy, colocated};
 
 impl Proxy {
-    /// Returns what cold upstreams of `service` bear, where that is limited.
+    /// Returns the warm-up limit of `service`, if it has one.
     pub(crate) fn warm_up(&self, service: &str) -> Option<WarmUp> {
         self.config.load().service(service)?.warm_up
     }
 
-    /// Returns the limit of calls to an upstream that bears `warm_up` while it is cold; none if it is warm.
-    pub(crate) fn limit(&self, warm_up: WarmUp, upstream: &Upstream, now: Time) -> Option<Limit> {
+    /// Returns the rate limit of an upstream under `warm_up`; `None` if the upstream is warm.
+    pub(crate) fn warm_up_limit(
+        &self,
+        warm_up: WarmUp,
+        upstream: &Upstream,
+        now: Time,
+    ) -> Option<Limit> {
         let until = cold_until(upstream, warm_up);
         (now < until).then(|| Limit::new(warm_up, self.tuning().cold_excess, until))
     }
 
-    /// Has the slots of the own upstream follow whether it is cold.
+    /// Updates the rate limit of the colocated upstream.
     pub(crate) fn refresh_warm_up(&self) {
         let now = self.clock.now();
         let warm_up = self.warm_up(&self.settings.service);
@@ -29,13 +34,13 @@
     fn colocated_limit(&self, warm_up: WarmUp, now: Time) -> Option<Limit> {
         let view = self.view.load();
         let entries = colocated::entries(&view, &self.settings);
-        let limits = entries.filter_map(|upstream| self.limit(warm_up, upstream, now));
+        let limits = entries.filter_map(|upstream| self.warm_up_limit(warm_up, upstream, now));
         limits.max_by_key(|limit| limit.until)
     }
 }
 
-/// Returns until when an upstream is cold. Whether it became so while its data centre was evacuated is told
-/// too late, so it counts as cold from the moment at which that was taken back.
+/// Returns until when an upstream is cold. After an evacuation ends, every upstream of the data centre
+/// counts as cold, because reports of those that cooled meanwhile arrive too late.
 fn cold_until(upstream: &Upstream, warm_up: WarmUp) -> Time {
     let after_evacuation = upstream.readmitted_at.map(|at| at + warm_up.length);
     upstream.cold_until.max(after_evacuation.unwrap_or_default())
