--- a/crates/fleet/src/listed.rs
+++ b/crates/fleet/src/listed.rs
@@ -44,25 +44,25 @@
 /// How long removals are in doubt after the platform's return.
 ///
 /// Entries that lapsed while it was away are back within two seconds if their upstreams live.
-const DOUBT: Duration = Duration::from_millis(2_200);
+const REMOVAL_GRACE: Duration = Duration::from_millis(2_200);
 
 /// Nodes of each other data centre that are told at once of news from the platform.
-const FAR_AUDIENCE: usize = 2;
+const FAR_FANOUT: usize = 2;
 
 /// Nodes that are told at once of news from another node.
-const PASSED_ON: usize = 3;
+const FORWARD_FANOUT: usize = 3;
 
 /// Most changes of the list that travel with a summary. With five entries of some 170 bytes it is still one
 /// packet.
-const NEWS_CHANGES: usize = 5;
+const MAX_PIGGYBACK_CHANGES: usize = 5;
 
 /// Most bytes of documents that travel with a summary, for the same reason.
-const NEWS_BYTES: usize = 700;
+const MAX_PIGGYBACK_BYTES: usize = 700;
 
 /// How long a node without configuration waits for the platform before it asks another node for
 /// the whole of it. Twice the time that the largest answers take on a slow link would be more; a
 /// platform that fails says so sooner, or is down.
-const PLATFORM_FIRST: Duration = Duration::from_millis(1_000);
+const PLATFORM_WAIT: Duration = Duration::from_millis(1_000);
 
 /// Speed of a link, in Mbit/s, below which a starting node listens for others before it calls the
 /// platform.
@@ -74,13 +74,13 @@
 /// How long such a node listens. One that goes on working speaks to it within two seconds over their
 /// number; after the end of all processes the first ones on fast links are ready after half a
 /// second.
-const LISTEN: Duration = Duration::from_millis(800);
+const LISTEN_WAIT: Duration = Duration::from_millis(800);
 
-/// Random time added to [`LISTEN`], so that nodes that heard nobody do not all call at once.
-const LISTEN_SPREAD: Duration = Duration::from_millis(200);
+/// Random time added to [`LISTEN_WAIT`], so that nodes that heard nobody do not all call at once.
+const LISTEN_JITTER: Duration = Duration::from_millis(200);
 
 /// Time between two looks at who is silent.
-const UPKEEP: Duration = Duration::from_millis(100);
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Settings of a [`Control`].
 #[derive(Clone, Debug)]
@@ -127,15 +127,15 @@
     /// Until when upstreams are cold, by their identities.
     cold_until: BTreeMap<String, Time>,
     /// When orders to evacuate a data centre were withdrawn.
-    taken_back: BTreeMap<String, Time>,
+    readmitted_at: BTreeMap<String, Time>,
     /// Revision up to which the platform's own answers are held.
-    read_to: Option<u64>,
+    read_revision: Option<u64>,
     started: Time,
     leaving: bool,
     ready: bool,
-    upkeep_due: Time,
+    maintenance_due: Time,
     view_stale: bool,
-    shown: Arc<View>,
+    view: Arc<View>,
     announced: Announced,
     effects: Vec<Effect>,
 }
@@ -144,7 +144,8 @@
     /// Creates the state of a starting node.
     pub fn new(settings: Settings, now: Now) -> Self {
         let mut random = SmallRng::seed_from_u64(settings.seed);
-        let first_call = now.time + settings.join_wait + listening(settings.link_mbps, &mut random);
+        let first_call =
+            now.time + settings.join_wait + listen_wait(settings.link_mbps, &mut random);
         let mut control = Control {
             clock: Clock::default(),
             ring: Ring::default(),
@@ -157,20 +158,20 @@
             pulls: Pulls::default(),
             quarantine: Register::default(),
             cold_until: BTreeMap::new(),
-            taken_back: BTreeMap::new(),
-            read_to: None,
+            readmitted_at: BTreeMap::new(),
+            read_revision: None,
             started: now.time,
             leaving: false,
             ready: false,
-            upkeep_due: now.time,
+            maintenance_due: now.time,
             view_stale: false,
-            shown: Arc::default(),
+            view: Arc::default(),
             announced: Announced::default(),
             effects: Vec::new(),
             settings,
         };
         let incarnation = control.settings.incarnation;
-        control.note(Kind::Started { incarnation }, now);
+        control.record(Kind::Started { incarnation }, now);
         control
     }
 
@@ -178,25 +179,25 @@
     pub fn apply(&mut self, event: Event, now: Now) -> Vec<Effect> {
         match event {
             Event::Tick => self.tick(now),
-            Event::Woke(pause) => self.wake(pause, now),
-            Event::Heard(digest) => self.hear(digest, now),
-            Event::Asked(request) => self.answer(request, now),
-            Event::Answered(peer, response) => self.take(peer, response, now),
+            Event::Woke(pause) => self.resume(pause, now),
+            Event::Heard(digest) => self.receive_digest(digest, now),
+            Event::Asked(request) => self.handle_request(request, now),
+            Event::Answered(peer, response) => self.handle_response(peer, response, now),
             Event::Lost(peer, lost) => {
                 if let Some(reason) = lost.malformed {
-                    self.note(Kind::BadMessage { peer, reason }, now);
+                    self.record(Kind::BadMessage { peer, reason }, now);
                 }
-                self.lose(lost.asked, peer, now);
+                self.handle_pull_failure(lost.asked, peer, now);
             }
-            Event::Source(answer) => self.hear_source(answer, now),
-            Event::Note(kind) => self.note(kind, now),
-            Event::UpstreamEnded(loss) => self.note_end(loss, now),
-            Event::Cleared(request) => self.note_answer(request, now),
+            Event::Source(answer) => self.handle_answer(answer, now),
+            Event::Note(kind) => self.record(kind, now),
+            Event::UpstreamEnded(loss) => self.record_crash(loss, now),
+            Event::Cleared(request) => self.record_cleared(request, now),
             Event::Leave => self.leave(now),
-            Event::Stop => self.tell_all(now),
+            Event::Stop => self.gossip_to_all(now),
         }
-        self.pull(now);
-        self.refresh(now);
+        self.start_pulls(now);
+        self.publish_changes(now);
         std::mem::take(&mut self.effects)
     }
 
@@ -221,26 +222,26 @@
     }
 
     fn tick(&mut self, now: Now) {
-        if now.time >= self.upkeep_due {
-            self.upkeep_due = now.time + UPKEEP;
+        if now.time >= self.maintenance_due {
+            self.maintenance_due = now.time + MAINTENANCE_INTERVAL;
             let changes = self.directory.expire(now.time);
-            self.note_changes(changes, None, now);
+            self.record_changes(changes, None, now);
             self.peers.prune(now.time);
-            self.fence.hear_anew(self.peers.known_config(now.time));
+            self.fence.hear_anew(self.peers.highest_config(now.time));
             // Silence has no event of its own.
-            self.view_stale |= self.peers.look(now.time);
+            self.view_stale |= self.peers.update_liveness(now.time);
         }
-        let targets = self.peers.turn(now.time, &mut self.random);
-        self.tell(targets, now);
+        let targets = self.peers.next_targets(now.time, &mut self.random);
+        self.gossip(targets, now);
         if !self.watch.is_idle(now.time) {
             return;
         }
         let rank = self.peers.rank(now.time);
         let readers = self.watch.readers(self.peers.data_centres());
-        let spread = self.peers.spread();
-        if self.fence.held().is_none() || self.watch.is_due(rank, readers, spread, now.time) {
-            let wait = self.watch.begin(self.peers.is_empty());
-            let after = self.read_to.map(|read| read.max(self.held()));
+        let delay = self.peers.propagation_delay();
+        if self.fence.held().is_none() || self.watch.should_call(rank, readers, delay, now.time) {
+            let wait = self.watch.start_call(self.peers.is_empty());
+            let after = self.read_revision.map(|read| read.max(self.held_revision()));
             self.effects.push(Effect::Read(Query::News { after, wait }));
         }
     }
@@ -250,35 +251,35 @@
     /// A watch need not tell again what came from others since this node's own last reading: after a
     /// storm of changes that would be every version of the configuration, a megabyte each. The word
     /// of others for one of the two things says nothing about how far the other is held.
-    fn held(&self) -> u64 {
+    fn held_revision(&self) -> u64 {
         self.directory.revision().min(self.fence.version().revision)
     }
 
-    fn wake(&mut self, pause: Duration, now: Now) {
-        self.note(Kind::Paused { ms: pause.as_millis() as u64 }, now);
-        self.peers.wake(now.time);
-        self.watch.hurry(now.time);
+    fn resume(&mut self, pause: Duration, now: Now) {
+        self.record(Kind::Paused { ms: pause.as_millis() as u64 }, now);
+        self.peers.resume(now.time);
+        self.watch.call_now(now.time);
     }
 
-    fn hear(&mut self, mut digest: Digest, now: Now) {
+    fn receive_digest(&mut self, mut digest: Digest, now: Now) {
         if let Some(age) = digest.contact_ms {
-            self.watch.hear(Duration::from_millis(age), now.time);
+            self.watch.record_remote_contact(Duration::from_millis(age), now.time);
         }
         self.fence.hear(digest.config);
         let (from, news) = (digest.from.address, std::mem::take(&mut digest.news));
         let reports = std::mem::take(&mut digest.reports);
-        let is_newcomer = digest.from.incarnation > self.peers.incarnation(from);
-        if self.peers.hear(digest, now.time) {
+        let is_joiner = digest.from.incarnation > self.peers.incarnation(from);
+        if self.peers.receive(digest, now.time) {
             self.view_stale = true;
         }
-        self.hear_news(news, from, now);
+        self.apply_piggyback(news, from, now);
         self.quarantine.hear(&reports, now.time);
-        if is_newcomer {
-            self.tell_newcomer(from, now);
+        if is_joiner {
+            self.send_reports_to_joiner(from, now);
         }
     }
 
-    fn answer(&mut self, request: Request, now: Now) {
+    fn handle_request(&mut self, request: Request, now: Now) {
         let response = match request {
             Request::Pull(pull) => Response::Pull(self.fence.answer(&pull)),
             Request::Fetch(fetch) => Response::Fetch(self.directory.since(fetch.have, now.time)),
@@ -288,38 +289,38 @@
         self.effects.push(Effect::Reply(response));
     }
 
-    fn take(&mut self, peer: SocketAddr, response: Response, now: Now) {
+    fn handle_response(&mut self, peer: SocketAddr, response: Response, now: Now) {
         match response {
-            Response::Pull(bundle) => self.take_bundle(peer, bundle, now),
+            Response::Pull(bundle) => self.handle_bundle(peer, bundle, now),
             Response::Fetch(update) => {
-                self.pulls.list.end(peer);
-                self.merge(update, Some(peer), Duration::ZERO, now);
+                self.pulls.list.complete(peer);
+                self.merge_list(update, Some(peer), Duration::ZERO, now);
             }
             Response::Beat(_) | Response::Sync(_) => {}
         }
     }
 
-    fn take_bundle(&mut self, peer: SocketAddr, bundle: Bundle, now: Now) {
-        if !self.pulls.config.end(peer) {
+    fn handle_bundle(&mut self, peer: SocketAddr, bundle: Bundle, now: Now) {
+        if !self.pulls.config.complete(peer) {
             return;
         }
         match self.draft.take(&self.fence, bundle) {
             Progress::Whole(set) => {
-                self.offer(*set, Some(peer), now);
+                self.offer_config(*set, Some(peer), now);
             }
-            Progress::Part => self.pulls.config.go_on_with(peer),
-            Progress::Stale => self.pulls.config.avoid(peer, now.time),
+            Progress::Part => self.pulls.config.continue_with(peer),
+            Progress::Stale => self.pulls.config.exclude(peer, now.time),
             Progress::Unusable => {
                 let reason = "the documents do not have the announced digest".to_owned();
-                self.note(Kind::BadMessage { peer, reason }, now);
-                self.pulls.config.avoid(peer, now.time);
+                self.record(Kind::BadMessage { peer, reason }, now);
+                self.pulls.config.exclude(peer, now.time);
             }
         }
     }
 
     /// Pulls what another node is ahead with, unless a pull is under way.
-    fn pull(&mut self, now: Now) {
-        if !self.awaits_platform(now) {
+    fn start_pulls(&mut self, now: Now) {
+        if !self.should_await_platform(now) {
             let (peers, fence) = (&self.peers, &self.fence);
             let peer = self.pulls.next_config(peers, fence, now.time, &mut self.random);
             let next = peer.map(|peer| (peer, Request::Pull(self.draft.pull(fence))));
@@ -331,7 +332,7 @@
     }
 
     /// Takes into account that `peer` did not answer a pull in time.
-    fn lose(&mut self, asked: Asked, peer: SocketAddr, now: Now) {
+    fn handle_pull_failure(&mut self, asked: Asked, peer: SocketAddr, now: Now) {
         if asked == Asked::Pull {
             self.draft.lose();
         }
@@ -339,7 +340,7 @@
         // A night of failures must not push everything else out of the ring.
         if failures.is_power_of_two() {
             let asked = asked.name().to_owned();
-            self.note(Kind::PullLost { peer, asked, failures }, now);
+            self.record(Kind::PullLost { peer, asked, failures }, now);
         }
     }
 
@@ -354,12 +355,12 @@
     /// After a herd restart all nodes want the whole configuration at once. The platform's link
     /// carries that; those of the nodes that went on working, which serve everybody meanwhile, may
     /// not.
-    fn awaits_platform(&self, now: Now) -> bool {
+    fn should_await_platform(&self, now: Now) -> bool {
         if is_slow(self.settings.link_mbps) {
             return false;
         }
-        let asked = self.fence.held().is_none() && !self.watch.is_failing();
-        asked && now.time.since(self.started) < PLATFORM_FIRST
+        let is_pending = self.fence.held().is_none() && !self.watch.is_failing();
+        is_pending && now.time.since(self.started) < PLATFORM_WAIT
     }
 
     fn leave(&mut self, now: Now) {
@@ -367,24 +368,24 @@
             return;
         }
         self.leaving = true;
-        self.note(Kind::Leaving { peer: self.settings.address }, now);
-        self.tell_all(now);
+        self.record(Kind::Leaving { peer: self.settings.address }, now);
+        self.gossip_to_all(now);
     }
 
-    fn tell_all(&mut self, now: Now) {
+    fn gossip_to_all(&mut self, now: Now) {
         let targets = self.peers.iter().map(|(address, _)| *address).collect();
-        self.tell(targets, now);
+        self.gossip(targets, now);
     }
 
-    fn tell(&mut self, targets: Vec<SocketAddr>, now: Now) {
-        self.tell_news(targets, News::default(), now);
+    fn gossip(&mut self, targets: Vec<SocketAddr>, now: Now) {
+        self.gossip_with(targets, News::default(), now);
     }
 
-    fn tell_news(&mut self, targets: Vec<SocketAddr>, news: News, now: Now) {
+    fn gossip_with(&mut self, targets: Vec<SocketAddr>, news: News, now: Now) {
         if targets.is_empty() {
             return;
         }
-        let (heard_ms, rumours) = self.peers.hearsay(now.time);
+        let (heard_ms, rumours) = self.peers.indirect_state(now.time);
         let reports = self.quarantine.tell(REPORTS_A_SUMMARY, now.time);
         let digest = Digest { heard_ms, rumours, news, reports, ..self.digest(now) };
         self.effects.push(Effect::Tell(targets, digest));
@@ -409,28 +410,28 @@
     }
 
     /// Works out anew what depends on list and peers, if that has changed.
-    fn refresh(&mut self, now: Now) {
+    fn publish_changes(&mut self, now: Now) {
         if std::mem::replace(&mut self.view_stale, false) {
-            let view = Arc::new(self.view(now));
-            if view != self.shown {
-                self.shown = view.clone();
+            let view = Arc::new(self.build_view(now));
+            if view != self.view {
+                self.view = view.clone();
                 self.effects.push(Effect::View(view));
             }
         }
         self.effects.extend(self.announced.update(&self.fence).map(Effect::Expected));
-        self.refresh_quarantine(now);
+        self.publish_quarantine(now);
         let ready = self.fence.held().is_some() && self.directory.revision() > 0;
         if ready && !self.ready {
             self.ready = true;
             self.effects.push(Effect::Open);
-            self.note(Kind::Ready { ready }, now);
+            self.record(Kind::Ready { ready }, now);
             // Starting nodes on slow links wait for a word of one that they can learn from.
-            let targets = self.peers.first_audience(FAR_AUDIENCE, &mut self.random);
-            self.tell(targets, now);
+            let targets = self.peers.broadcast_targets(FAR_FANOUT, &mut self.random);
+            self.gossip(targets, now);
         }
     }
 
-    fn note(&mut self, kind: Kind, now: Now) {
+    fn record(&mut self, kind: Kind, now: Now) {
         let stamp = self.clock.stamp(now);
         self.ring.push(Note { stamp, node: self.settings.instance.clone(), kind });
     }
@@ -442,11 +443,11 @@
 }
 
 /// Returns how long a starting node listens for others before it calls the platform.
-fn listening(link_mbps: u32, random: &mut SmallRng) -> Duration {
+fn listen_wait(link_mbps: u32, random: &mut SmallRng) -> Duration {
     if !is_slow(link_mbps) {
         return Duration::ZERO;
     }
-    LISTEN + LISTEN_SPREAD.mul_f64(random.random_range(0.0..1.0))
+    LISTEN_WAIT + LISTEN_JITTER.mul_f64(random.random_range(0.0..1.0))
 }
 
 impl Machine for Control {
@@ -467,6 +468,6 @@
     }
 
     fn count(&self, state: State) -> usize {
-        self.shown.iter().filter(|(_, upstream)| upstream.state == state).count()
+        self.view.iter().filter(|(_, upstream)| upstream.state == state).count()
     }
 }
--- a/crates/fleet/src/listed/changes.rs
+++ b/crates/fleet/src/listed/changes.rs
@@ -12,19 +12,19 @@
 };
 
 /// For how long it is remembered that a data centre was taken back: no upstream stays cold longer.
-const TAKEN_BACK_KEPT: Duration = Duration::from_millis(*service::COLD_MS.end());
+const READMISSION_RETENTION: Duration = Duration::from_millis(*service::COLD_MS.end());
 
 impl Control {
-    pub(super) fn note_changes(
+    pub(super) fn record_changes(
         &mut self,
         changes: Vec<(Entry, Change)>,
         from: Option<SocketAddr>,
         now: Now,
     ) {
         for (entry, change) in changes {
-            self.peers.list(self.node_of(&entry), &entry.data_centre, now.time);
+            self.peers.add_listed(self.node_of(&entry), &entry.data_centre, now.time);
             self.view_stale = true;
-            self.note_cold(&entry, change, now.time);
+            self.update_cold_until(&entry, change, now.time);
             if change == Change::Revised {
                 continue;
             }
@@ -36,13 +36,13 @@
                 revision: self.directory.revision(),
                 from,
             };
-            self.note(kind, now);
+            self.record(kind, now);
         }
     }
 
     /// Takes note of how long an upstream stays cold. What it wrote took a moment to arrive here, so it
     /// may be warm a little sooner.
-    fn note_cold(&mut self, entry: &Entry, change: Change, now: Time) {
+    fn update_cold_until(&mut self, entry: &Entry, change: Change, now: Time) {
         match change {
             // What it wrote before is all that is known of it.
             Change::Doubted => {}
@@ -56,14 +56,14 @@
         }
     }
 
-    pub(super) fn note_orders(&mut self, orders: Vec<Order>, from: Option<SocketAddr>, now: Now) {
-        self.taken_back.retain(|_, at| now.time.since(*at) < TAKEN_BACK_KEPT);
+    pub(super) fn record_orders(&mut self, orders: Vec<Order>, from: Option<SocketAddr>, now: Now) {
+        self.readmitted_at.retain(|_, at| now.time.since(*at) < READMISSION_RETENTION);
         for Order { data_centre, revision, withdrawn } in orders {
             self.view_stale = true;
             if withdrawn {
-                self.taken_back.insert(data_centre.clone(), now.time);
+                self.readmitted_at.insert(data_centre.clone(), now.time);
             }
-            self.note(Kind::Evacuation { data_centre, withdrawn, revision, from }, now);
+            self.record(Kind::Evacuation { data_centre, withdrawn, revision, from }, now);
         }
     }
 }
--- a/crates/fleet/src/listed/partition.rs
+++ b/crates/fleet/src/listed/partition.rs
@@ -15,28 +15,28 @@
 /// Nodes of the own data centre tell fifteen times a second how long ago they heard of the other one; that
 /// none of thirty heard a word for so long, of two or three a second and node that come from elsewhere, is no
 /// chance where there are enough of them.
-const SILENCE: Duration = Duration::from_secs(2);
+const SILENCE_LIMIT: Duration = Duration::from_secs(2);
 
 /// Longest age of the last word of the own data centre with which the silence of others counts. A node
 /// that hears nobody is cut off itself, or was starved, and learns nothing from silence.
-const OWN_WORD: Duration = Duration::from_millis(600);
+const MAX_OWN_CONTACT_AGE: Duration = Duration::from_millis(600);
 
 /// Fewest other nodes of the own data centre for each other data centre with which silence counts.
 ///
-/// Four of them hear ten words of each in [`SILENCE`], in the mean; that there is none of ten is one chance in
+/// Four of them hear ten contacts of each in [`SILENCE_LIMIT`], in the mean; that there is none of ten is one chance in
 /// twenty thousand. With fewer of them, or more data centres, it is a common one.
-const LISTENERS_A_PLACE: usize = 4;
+const MIN_OBSERVERS_PER_DATA_CENTRE: usize = 4;
 
-/// Most nodes whose word about others arrives within [`SILENCE`].
-const LISTENERS_MOST: usize = 30;
+/// Most nodes whose word about others arrives within [`SILENCE_LIMIT`].
+const MAX_OBSERVERS: usize = 30;
 
 /// Data centres that are remembered; another node's word names no more of them.
-const MOST: usize = 64;
+const MAX_DATA_CENTRES: usize = 64;
 
 #[derive(Clone, Copy, Debug)]
-struct Word {
+struct Contact {
     /// When a node of the data centre last spoke to this one.
-    own: Time,
+    direct: Time,
     /// When it spoke to any node, as far as known.
     any: Time,
 }
@@ -44,54 +44,60 @@
 /// When each data centre was last heard of.
 #[derive(Debug, Default)]
 pub(super) struct Detector {
-    words: BTreeMap<String, Word>,
+    contacts: BTreeMap<String, Contact>,
 }
 
 impl Detector {
     /// Notes that a node of `place` spoke to this one.
-    pub(super) fn hear(&mut self, place: &str, now: Time) {
-        let word = Word { own: now, any: now };
-        if let Some(known) = self.words.get_mut(place) {
-            *known = word;
-        } else if self.words.len() < MOST {
-            self.words.insert(place.to_owned(), word);
+    pub(super) fn record_contact(&mut self, data_centre: &str, now: Time) {
+        let contact = Contact { direct: now, any: now };
+        if let Some(known) = self.contacts.get_mut(data_centre) {
+            *known = contact;
+        } else if self.contacts.len() < MAX_DATA_CENTRES {
+            self.contacts.insert(data_centre.to_owned(), contact);
         }
     }
 
     /// Notes that another node heard of data centres so many milliseconds ago. Those that this node never
     /// heard of itself are left out.
-    pub(super) fn hear_of(&mut self, ages_ms: &BTreeMap<String, u64>, now: Time) {
-        for (place, age) in ages_ms {
-            if let Some(word) = self.words.get_mut(place) {
+    pub(super) fn merge_ages(&mut self, ages_ms: &BTreeMap<String, u64>, now: Time) {
+        for (data_centre, age) in ages_ms {
+            if let Some(contact) = self.contacts.get_mut(data_centre) {
                 let age = Duration::from_millis(*age);
                 let at = Time::at(now.since(Time::default()).saturating_sub(age));
-                word.any = word.any.max(at);
+                contact.any = contact.any.max(at);
             }
         }
     }
 
     /// Forgets the silence so far: this process did not run, so it heard nobody.
-    pub(super) fn wake(&mut self, now: Time) {
-        self.words.values_mut().for_each(|word| word.any = now);
+    pub(super) fn resume(&mut self, now: Time) {
+        self.contacts.values_mut().for_each(|contact| contact.any = now);
     }
 
     /// Returns how long ago each data centre but `own` spoke to this node itself, in ms.
     pub(super) fn ages_ms(&self, own: &str, now: Time) -> BTreeMap<String, u64> {
-        let others = self.words.iter().filter(|(place, _)| *place != own);
+        let others = self.contacts.iter().filter(|(data_centre, _)| *data_centre != own);
         others
-            .map(|(place, word)| (place.clone(), now.since(word.own).as_millis() as u64))
+            .map(|(data_centre, contact)| {
+                (data_centre.clone(), now.since(contact.direct).as_millis() as u64)
+            })
             .collect()
     }
 
-    /// Returns the data centres that fell silent, as seen by a node of `own` with `listeners` others beside it.
-    pub(super) fn silent(&self, own: &str, listeners: usize, now: Time) -> Vec<String> {
-        let hears = self.words.get(own).is_some_and(|word| now.since(word.own) < OWN_WORD);
-        let others = self.words.len().saturating_sub(1);
-        if !hears || listeners.min(LISTENERS_MOST) < others * LISTENERS_A_PLACE {
+    /// Returns the data centres that fell silent, as seen by a node of `own` with `observers` others beside it.
+    pub(super) fn silent(&self, own: &str, observers: usize, now: Time) -> Vec<String> {
+        let is_connected = self
+            .contacts
+            .get(own)
+            .is_some_and(|contact| now.since(contact.direct) < MAX_OWN_CONTACT_AGE);
+        let others = self.contacts.len().saturating_sub(1);
+        if !is_connected || observers.min(MAX_OBSERVERS) < others * MIN_OBSERVERS_PER_DATA_CENTRE {
             return Vec::new();
         }
-        let silent =
-            |(place, word): &(&String, &Word)| *place != own && now.since(word.any) > SILENCE;
-        self.words.iter().filter(silent).map(|(place, _)| place.clone()).collect()
+        let silent = |(data_centre, contact): &(&String, &Contact)| {
+            *data_centre != own && now.since(contact.any) > SILENCE_LIMIT
+        };
+        self.contacts.iter().filter(silent).map(|(data_centre, _)| data_centre.clone()).collect()
     }
 }
--- a/crates/fleet/src/listed/peers.rs
+++ b/crates/fleet/src/listed/peers.rs
@@ -27,41 +27,41 @@
 const SILENT_ROUNDS: u32 = 4;
 
 /// Added to [`SILENT_ROUNDS`] for the time that a slow node needs.
-const SILENT_EXTRA: Duration = Duration::from_millis(400);
+const SILENCE_MARGIN: Duration = Duration::from_millis(400);
 
 /// How long a node that said that it leaves counts as leaving without another word. A planned stop takes
 /// less; a later life of the node says so, but a node that stood still may have missed it.
-const LEAVING_KEPT: Duration = Duration::from_secs(10);
+const LEAVING_TTL: Duration = Duration::from_secs(10);
 
 /// Most nodes of the own data centre that are told at once of news. Beyond them those that were told pass
 /// the news on.
-const NEAR_AUDIENCE: usize = 64;
+const MAX_NEAR_FANOUT: usize = 64;
 
 /// How long a node that is no longer listed is still told.
 ///
 /// One that was killed while the platform was down knows nobody when it returns; it learns of the
 /// others from their summaries.
-const REMEMBERED: Duration = Duration::from_secs(60);
+const RETENTION: Duration = Duration::from_secs(60);
 
 /// For how long what a node holds counts as known after its last word. Four times the longest round, in
 /// which every node that goes on working speaks.
-const KNOWN: Duration = Duration::from_secs(8);
+const DIGEST_TTL: Duration = Duration::from_secs(8);
 
 /// How much an answer of another node can be counted on.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub(super) enum Trust {
+pub(super) enum Health {
     /// It is not to be asked now.
-    None,
+    Excluded,
     /// It is silent, or did not answer lately.
-    Low,
+    Suspect,
     /// Nothing speaks against it.
-    Usual,
+    Good,
 }
 
 /// How well a node is placed to be asked; what comes first weighs most.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-struct Place {
-    trust: Trust,
+struct Score {
+    health: Health,
     /// Whether it is in the own data centre.
     near: bool,
     link_mbps: u32,
@@ -76,19 +76,19 @@
     listed: Time,
     /// Whether it is in the own data centre.
     near: bool,
-    /// Place in the rendezvous order.
+    /// Score in the rendezvous order.
     weight: u64,
-    rumour: Option<Hearsay>,
+    claim: Option<Claim>,
 }
 
 /// A rumour of a node that it did not contradict itself.
 #[derive(Clone, Copy, Debug)]
-struct Hearsay {
+struct Claim {
     rumour: Rumour,
     /// Who told it first.
-    by: SocketAddr,
-    /// Since when it is believed: another node has told it as well.
-    believed: Option<Time>,
+    reporter: SocketAddr,
+    /// Since when it is confirmed: another node has told it as well.
+    confirmed: Option<Time>,
 }
 
 impl Rumour {
@@ -99,7 +99,7 @@
 
     /// Tells whether this was said after `other`, by the same node: a later life follows on an earlier one,
     /// and leaving is final within a life.
-    fn is_after(&self, other: &Rumour) -> bool {
+    fn supersedes(&self, other: &Rumour) -> bool {
         (self.of.incarnation, self.leaving) > (other.of.incarnation, other.leaving)
     }
 }
@@ -107,22 +107,22 @@
 impl Peer {
     fn new(address: SocketAddr, near: bool, now: Time) -> Self {
         let weight = source::weight(address);
-        Peer { digest: None, heard: now, listed: now, near, weight, rumour: None }
+        Peer { digest: None, heard: now, listed: now, near, weight, claim: None }
     }
 
     /// Returns what the node last said of itself and when, directly or through others.
-    fn last_word(&self) -> Option<(Rumour, Time)> {
-        let heard = self.rumour.and_then(|heard| Some((heard.rumour, heard.believed?)));
+    fn last_status(&self) -> Option<(Rumour, Time)> {
+        let claimed = self.claim.and_then(|claim| Some((claim.rumour, claim.confirmed?)));
         let own = || Some((Rumour::of(self.digest.as_ref()?), self.heard));
-        heard.or_else(own)
+        claimed.or_else(own)
     }
 }
 
 /// Standing of another node, by its own word or its silence.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum Reach {
+pub(super) enum Liveness {
     /// It was heard of lately, or is new.
-    Heard,
+    Alive,
     /// It said that it takes no more work.
     Leaving,
     /// It was heard before and is silent now.
@@ -136,7 +136,7 @@
     link_mbps: u32,
     data_centre: String,
     /// Nodes that were not within reach when last looked at.
-    missing: Vec<(SocketAddr, Reach)>,
+    unreachable: Vec<(SocketAddr, Liveness)>,
     /// Data centres that were silent when last looked at.
     silent: Vec<String>,
     /// Nodes of the own data centre when last looked at.
@@ -153,7 +153,7 @@
             own,
             link_mbps,
             data_centre,
-            missing: Vec::new(),
+            unreachable: Vec::new(),
             silent: Vec::new(),
             near: 0,
             peers: BTreeMap::new(),
@@ -168,17 +168,22 @@
     }
 
     /// Looks at who is within reach; returns whether that has changed since the last look.
-    pub(super) fn look(&mut self, now: Time) -> bool {
+    pub(super) fn update_liveness(&mut self, now: Time) -> bool {
         self.near = self.peers.values().filter(|peer| peer.near).count();
-        let reach = |(address, peer): (&SocketAddr, &Peer)| (*address, self.reach_of(peer, now));
-        let missing: Vec<(SocketAddr, Reach)> =
-            self.peers.iter().map(reach).filter(|(_, reach)| *reach != Reach::Heard).collect();
-        let silent = match self.is_whole() {
+        let liveness =
+            |(address, peer): (&SocketAddr, &Peer)| (*address, self.liveness_of(peer, now));
+        let unreachable: Vec<(SocketAddr, Liveness)> = self
+            .peers
+            .iter()
+            .map(liveness)
+            .filter(|(_, liveness)| *liveness != Liveness::Alive)
+            .collect();
+        let silent = match self.is_full_mesh() {
             true => Vec::new(),
             false => self.partitions.silent(&self.data_centre, self.near, now),
         };
-        let changed = missing != self.missing || silent != self.silent;
-        self.missing = missing;
+        let changed = unreachable != self.unreachable || silent != self.silent;
+        self.unreachable = unreachable;
         self.silent = silent;
         changed
     }
@@ -189,8 +194,8 @@
     }
 
     /// Tells whether every node tells every other one within seconds.
-    fn is_whole(&self) -> bool {
-        rounds::is_whole(self.peers.len())
+    fn is_full_mesh(&self) -> bool {
+        rounds::is_full_mesh(self.peers.len())
     }
 
     /// Returns the number of data centres with a node that was heard of, the own one included.
@@ -202,7 +207,7 @@
     }
 
     /// Takes note of a node beside an upstream that is listed in `data_centre`.
-    pub(super) fn list(&mut self, address: SocketAddr, data_centre: &str, now: Time) {
+    pub(super) fn add_listed(&mut self, address: SocketAddr, data_centre: &str, now: Time) {
         if address == self.own {
             return;
         }
@@ -213,19 +218,19 @@
     }
 
     /// Takes a summary into account; returns whether the standing of a node may have changed.
-    pub(super) fn hear(&mut self, digest: Digest, now: Time) -> bool {
+    pub(super) fn receive(&mut self, digest: Digest, now: Time) -> bool {
         let address = digest.from.address;
         if address == self.own {
             return false;
         }
         let near = digest.data_centre == self.data_centre;
-        self.partitions.hear(&digest.data_centre, now);
-        self.partitions.hear_of(&digest.heard_ms, now);
+        self.partitions.record_contact(&digest.data_centre, now);
+        self.partitions.merge_ages(&digest.heard_ms, now);
         let mut changed = false;
         for rumour in &digest.rumours {
-            changed |= self.hear_rumour(*rumour, address, now);
+            changed |= self.receive_rumour(*rumour, address, now);
         }
-        let word = Rumour::of(&digest);
+        let status = Rumour::of(&digest);
         let digest = Digest {
             heard_ms: BTreeMap::new(),
             rumours: Vec::new(),
@@ -234,37 +239,38 @@
             ..digest
         };
         let peer = self.peers.entry(address).or_insert_with(|| Peer::new(address, near, now));
-        let before = peer.last_word().map(|(word, _)| word);
-        let reach_before = peer.digest.as_ref().map(|_| peer.heard);
+        let before = peer.last_status().map(|(status, _)| status);
+        let heard_before = peer.digest.as_ref().map(|_| peer.heard);
         peer.heard = now;
         peer.near = near;
         peer.digest = Some(digest);
         // Its own word goes before what others say of it.
-        peer.rumour = None;
-        if before.is_some_and(|before| before != word) && !self.is_whole() {
-            self.rumours.add(word);
+        peer.claim = None;
+        if before.is_some_and(|before| before != status) && !self.is_full_mesh() {
+            self.rumours.add(status);
         }
-        let was_silent = reach_before.is_some_and(|heard| now.since(heard) > self.patience(near));
-        changed || before != Some(word) || was_silent
+        let was_silent =
+            heard_before.is_some_and(|heard| now.since(heard) > self.silence_limit(near));
+        changed || before != Some(status) || was_silent
     }
 
-    /// Takes into account what `by` tells of another node; returns whether it is news and believed.
-    fn hear_rumour(&mut self, rumour: Rumour, by: SocketAddr, now: Time) -> bool {
+    /// Takes into account what `by` tells of another node; returns whether it is news and confirmed.
+    fn receive_rumour(&mut self, rumour: Rumour, reporter: SocketAddr, now: Time) -> bool {
         // Unknown names are not kept, whoever tells them: there is no bound on them.
         let Some(peer) = self.peers.get_mut(&rumour.of.address) else { return false };
-        let known = peer.last_word().map(|(word, _)| word);
-        if rumour.of.address == by || known.is_some_and(|known| !rumour.is_after(&known)) {
+        let known = peer.last_status().map(|(status, _)| status);
+        if rumour.of.address == reporter || known.is_some_and(|known| !rumour.supersedes(&known)) {
             return false;
         }
-        match &mut peer.rumour {
-            Some(heard) if heard.rumour == rumour && heard.by != by => {
-                heard.believed = Some(now);
+        match &mut peer.claim {
+            Some(claim) if claim.rumour == rumour && claim.reporter != reporter => {
+                claim.confirmed = Some(now);
                 self.rumours.add(rumour);
                 true
             }
-            Some(heard) if heard.rumour == rumour => false,
+            Some(claim) if claim.rumour == rumour => false,
             other => {
-                *other = Some(Hearsay { rumour, by, believed: None });
+                *other = Some(Claim { rumour, reporter, confirmed: None });
                 false
             }
         }
@@ -272,51 +278,50 @@
 
     /// Returns the life of the node at `address`; 0 where it was never heard of.
     pub(super) fn incarnation(&self, address: SocketAddr) -> u64 {
-        let word = self.peers.get(&address).and_then(Peer::last_word);
-        word.map_or(0, |(word, _)| word.of.incarnation)
+        let status = self.peers.get(&address).and_then(Peer::last_status);
+        status.map_or(0, |(status, _)| status.of.incarnation)
     }
 
     /// Returns what is told of others with the next summary.
-    pub(super) fn hearsay(&mut self, now: Time) -> (BTreeMap<String, u64>, Vec<Rumour>) {
-        if self.is_whole() {
+    pub(super) fn indirect_state(&mut self, now: Time) -> (BTreeMap<String, u64>, Vec<Rumour>) {
+        if self.is_full_mesh() {
             return (BTreeMap::new(), Vec::new());
         }
         (self.partitions.ages_ms(&self.data_centre, now), self.rumours.next())
     }
 
     /// Forgets the silence so far: this process did not run, so it heard nobody.
-    pub(super) fn wake(&mut self, now: Time) {
+    pub(super) fn resume(&mut self, now: Time) {
         self.peers.values_mut().for_each(|peer| peer.heard = now);
-        self.partitions.wake(now);
+        self.partitions.resume(now);
     }
 
     /// Drops nodes that are neither listed nor heard of.
     pub(super) fn prune(&mut self, now: Time) {
-        self.peers
-            .retain(|_, p| now.since(p.listed) < REMEMBERED || now.since(p.heard) < REMEMBERED);
+        self.peers.retain(|_, p| now.since(p.listed) < RETENTION || now.since(p.heard) < RETENTION);
     }
 
     /// Returns the standing of the node at `address`; nodes never heard of count as heard.
-    pub(super) fn reach(&self, address: SocketAddr, now: Time) -> Reach {
-        self.peers.get(&address).map_or(Reach::Heard, |peer| self.reach_of(peer, now))
+    pub(super) fn liveness(&self, address: SocketAddr, now: Time) -> Liveness {
+        self.peers.get(&address).map_or(Liveness::Alive, |peer| self.liveness_of(peer, now))
     }
 
-    fn reach_of(&self, peer: &Peer, now: Time) -> Reach {
-        let Some((word, at)) = peer.last_word() else { return Reach::Heard };
+    fn liveness_of(&self, peer: &Peer, now: Time) -> Liveness {
+        let Some((status, at)) = peer.last_status() else { return Liveness::Alive };
         let age = now.since(at);
-        if peer.rumour.is_none_or(|heard| heard.believed.is_none())
-            && age > self.patience(peer.near)
+        if peer.claim.is_none_or(|claim| claim.confirmed.is_none())
+            && age > self.silence_limit(peer.near)
         {
-            return Reach::Silent;
+            return Liveness::Silent;
         }
-        if word.leaving && age < LEAVING_KEPT { Reach::Leaving } else { Reach::Heard }
+        if status.leaving && age < LEAVING_TTL { Liveness::Leaving } else { Liveness::Alive }
     }
 
     /// Returns how long a node that was heard may be silent until it counts as out of reach.
-    fn patience(&self, near: bool) -> Duration {
+    fn silence_limit(&self, near: bool) -> Duration {
         let nodes = self.peers.len();
         let group = if near { self.near } else { nodes.saturating_sub(self.near) };
-        rounds::length(nodes, group, near) * SILENT_ROUNDS + SILENT_EXTRA
+        rounds::round_time(nodes, group, near) * SILENT_ROUNDS + SILENCE_MARGIN
     }
 
     /// Returns this node's place among the readers of its data centre.
@@ -329,26 +334,26 @@
             let Some(digest) = &peer.digest else { return false };
             let able = digest.data_centre == self.data_centre && !digest.failing;
             able && (digest.link_mbps, peer.weight, *address) > own
-                && self.reach(*address, now) == Reach::Heard
+                && self.liveness(*address, now) == Liveness::Alive
         };
         self.peers.iter().filter(|(address, peer)| before(address, peer)).count()
     }
 
     /// Returns how much longer than in a small fleet word of a contact with the platform may take.
-    pub(super) fn spread(&self) -> Duration {
-        rounds::spread(self.peers.len())
+    pub(super) fn propagation_delay(&self) -> Duration {
+        rounds::propagation_delay(self.peers.len())
     }
 
     /// Returns the nodes whose turn it is to be told.
-    pub(super) fn turn(&mut self, now: Time, random: &mut SmallRng) -> Vec<SocketAddr> {
+    pub(super) fn next_targets(&mut self, now: Time, random: &mut SmallRng) -> Vec<SocketAddr> {
         let target =
             |(address, peer): (&SocketAddr, &Peer)| Target { address: *address, near: peer.near };
-        self.rounds.turn(self.peers.iter().map(target), now, random)
+        self.rounds.next_targets(self.peers.iter().map(target), now, random)
     }
 
     /// Returns the nodes to tell of news that this node was among the first to hear: those of the
     /// own data centre, and some of each other one.
-    pub(super) fn audience(&self, far: usize, random: &mut SmallRng) -> Vec<SocketAddr> {
+    pub(super) fn fanout(&self, far: usize, random: &mut SmallRng) -> Vec<SocketAddr> {
         let mut near = Vec::new();
         let mut others: BTreeMap<&str, Vec<SocketAddr>> = BTreeMap::new();
         for (address, peer) in &self.peers {
@@ -360,7 +365,7 @@
             }
         }
         near.shuffle(random);
-        near.truncate(NEAR_AUDIENCE);
+        near.truncate(MAX_NEAR_FANOUT);
         for mut group in others.into_values() {
             group.shuffle(random);
             near.extend(group.into_iter().take(far));
@@ -369,11 +374,11 @@
     }
 
     /// Returns the nodes to tell that this one can be learnt from.
-    pub(super) fn first_audience(&self, far: usize, random: &mut SmallRng) -> Vec<SocketAddr> {
-        if self.is_whole() {
+    pub(super) fn broadcast_targets(&self, far: usize, random: &mut SmallRng) -> Vec<SocketAddr> {
+        if self.is_full_mesh() {
             self.peers.keys().copied().collect()
         } else {
-            self.audience(far, random)
+            self.fanout(far, random)
         }
     }
 
@@ -381,65 +386,66 @@
     ///
     /// Among hundreds only those of the own data centre: each data centre hears of news from its own reader
     /// and from those of others, and what everybody passed on anywhere would cross over and over again.
-    pub(super) fn some(&self, count: usize, random: &mut SmallRng) -> Vec<SocketAddr> {
-        let any = self.is_whole() || self.near == 0;
-        let listener =
-            |(address, peer): (&SocketAddr, &Peer)| (any || peer.near).then_some(*address);
-        let mut all: Vec<SocketAddr> = self.peers.iter().filter_map(listener).collect();
+    pub(super) fn forward_targets(&self, count: usize, random: &mut SmallRng) -> Vec<SocketAddr> {
+        let any_data_centre = self.is_full_mesh() || self.near == 0;
+        let target = |(address, peer): (&SocketAddr, &Peer)| {
+            (any_data_centre || peer.near).then_some(*address)
+        };
+        let mut all: Vec<SocketAddr> = self.peers.iter().filter_map(target).collect();
         all.shuffle(random);
         all.truncate(count);
         all
     }
 
-    /// Draws one of the nodes that hold more than `held` by `measure`, the best placed first: those
+    /// Draws one of the nodes that hold more than `held` by `revision_of`, the best placed first: those
     /// that can be counted on, those of the own data centre, and those with the fastest links.
     ///
     /// A random one, since after a herd restart everybody asks at the same moment.
-    pub(super) fn ahead(
+    pub(super) fn pick_ahead(
         &self,
         held: u64,
-        measure: impl Fn(&Digest) -> u64,
-        trust: impl Fn(SocketAddr) -> Trust,
+        revision_of: impl Fn(&Digest) -> u64,
+        health: impl Fn(SocketAddr) -> Health,
         now: Time,
         random: &mut SmallRng,
     ) -> Option<SocketAddr> {
-        let trust = |address, place: &str| match self.reach(address, now) {
-            Reach::Silent => trust(address).min(Trust::Low),
-            _ if self.is_silent(place) => trust(address).min(Trust::Low),
-            Reach::Heard | Reach::Leaving => trust(address),
+        let health = |address, data_centre: &str| match self.liveness(address, now) {
+            Liveness::Silent => health(address).min(Health::Suspect),
+            _ if self.is_silent(data_centre) => health(address).min(Health::Suspect),
+            Liveness::Alive | Liveness::Leaving => health(address),
         };
-        let place = |address, digest: &Digest| Place {
-            trust: trust(address, &digest.data_centre),
+        let score = |address, digest: &Digest| Score {
+            health: health(address, &digest.data_centre),
             near: digest.data_centre == self.data_centre,
             link_mbps: digest.link_mbps,
         };
         let ahead = self.peers.iter().filter_map(|(address, peer)| {
-            let digest = peer.digest.as_ref().filter(|digest| measure(digest) > held)?;
-            Some((place(*address, digest), *address))
+            let digest = peer.digest.as_ref().filter(|digest| revision_of(digest) > held)?;
+            Some((score(*address, digest), *address))
         });
-        let ahead: Vec<(Place, SocketAddr)> =
-            ahead.filter(|(place, _)| place.trust > Trust::None).collect();
-        let best = ahead.iter().map(|(place, _)| *place).max()?;
+        let ahead: Vec<(Score, SocketAddr)> =
+            ahead.filter(|(score, _)| score.health > Health::Excluded).collect();
+        let best = ahead.iter().map(|(score, _)| *score).max()?;
         let best: Vec<SocketAddr> =
-            ahead.iter().filter(|(place, _)| *place == best).map(|(_, peer)| *peer).collect();
+            ahead.iter().filter(|(score, _)| *score == best).map(|(_, peer)| *peer).collect();
         best.choose(random).copied()
     }
 
     /// Returns the highest revision of the configuration that a node told of lately; 0 for none.
-    pub(super) fn known_config(&self, now: Time) -> u64 {
-        let lately = self.peers.values().filter(|peer| now.since(peer.heard) < KNOWN);
+    pub(super) fn highest_config(&self, now: Time) -> u64 {
+        let lately = self.peers.values().filter(|peer| now.since(peer.heard) < DIGEST_TTL);
         lately.filter_map(|peer| Some(peer.digest.as_ref()?.config)).max().unwrap_or(0)
     }
 
-    /// Tells whether `peer` holds more than `held` by `measure`.
+    /// Tells whether `peer` holds more than `held` by `revision_of`.
     pub(super) fn is_ahead(
         &self,
         peer: SocketAddr,
         held: u64,
-        measure: impl Fn(&Digest) -> u64,
+        revision_of: impl Fn(&Digest) -> u64,
     ) -> bool {
         let digest = self.peers.get(&peer).and_then(|peer| peer.digest.as_ref());
-        digest.is_some_and(|digest| measure(digest) > held)
+        digest.is_some_and(|digest| revision_of(digest) > held)
     }
 
     pub(super) fn iter(&self) -> impl Iterator<Item = (&SocketAddr, &Peer)> {
--- a/crates/fleet/src/listed/pull.rs
+++ b/crates/fleet/src/listed/pull.rs
@@ -7,7 +7,7 @@
 use crate::{
     control::Asked,
     fence::Fence,
-    listed::peers::{Peers, Trust},
+    listed::peers::{Health, Peers},
     message::{Digest, Fetch, Request},
 };
 
@@ -17,18 +17,18 @@
 pub(super) const TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// For how long a node that did not answer is not asked again.
-const AVOIDED: Duration = Duration::from_secs(1);
+const EXCLUSION: Duration = Duration::from_secs(1);
 
 /// For how long any other node is asked before one that did not answer.
 ///
 /// Two fast nodes that fell silent together are each given a second and avoided for a second; with no
 /// more than that one of them would always be due, and nodes elsewhere never asked.
-const DOUBTED: Duration = Duration::from_secs(5);
+const SUSPICION: Duration = Duration::from_secs(5);
 
 /// The pull of one thing.
 #[derive(Debug, Default)]
-pub(super) struct Line {
-    asked: Option<SocketAddr>,
+pub(super) struct Slot {
+    in_flight: Option<SocketAddr>,
     /// Nodes that did not answer, and when.
     failed: Vec<(SocketAddr, Time)>,
     /// The node that holds more of what the last pull brought.
@@ -40,68 +40,68 @@
 /// Pulls under way.
 #[derive(Debug, Default)]
 pub(super) struct Pulls {
-    pub(super) config: Line,
-    pub(super) list: Line,
+    pub(super) config: Slot,
+    pub(super) list: Slot,
     /// The next pull of the list asks for every entry.
-    pub(super) whole_list: bool,
+    pub(super) full_list: bool,
 }
 
-impl Line {
+impl Slot {
     /// Notes an answer of `peer`; returns whether it is one to the pull under way.
-    pub(super) fn end(&mut self, peer: SocketAddr) -> bool {
-        if self.asked != Some(peer) {
+    pub(super) fn complete(&mut self, peer: SocketAddr) -> bool {
+        if self.in_flight != Some(peer) {
             return false;
         }
-        self.asked = None;
+        self.in_flight = None;
         self.failures = 0;
         true
     }
 
     /// Has the next pull ask `peer`, which has not told everything yet.
-    pub(super) fn go_on_with(&mut self, peer: SocketAddr) {
+    pub(super) fn continue_with(&mut self, peer: SocketAddr) {
         self.unfinished = Some(peer);
     }
 
     /// Asks `peer` nothing more for a while.
-    pub(super) fn avoid(&mut self, peer: SocketAddr, now: Time) {
+    pub(super) fn exclude(&mut self, peer: SocketAddr, now: Time) {
         self.failed.push((peer, now));
     }
 
-    fn trust(&self, peer: SocketAddr, now: Time) -> Trust {
-        let failures = self.failed.iter().filter(|(address, _)| *address == peer);
-        match failures.map(|(_, at)| now.since(*at)).min() {
-            Some(age) if age < AVOIDED => Trust::None,
-            Some(_) => Trust::Low,
-            None => Trust::Usual,
+    fn health(&self, peer: SocketAddr, now: Time) -> Health {
+        let recent = self.failed.iter().filter(|(address, _)| *address == peer);
+        match recent.map(|(_, at)| now.since(*at)).min() {
+            Some(age) if age < EXCLUSION => Health::Excluded,
+            Some(_) => Health::Suspect,
+            None => Health::Good,
         }
     }
 
     fn fail(&mut self, peer: SocketAddr, now: Time) -> u32 {
-        if self.asked == Some(peer) {
-            self.asked = None;
+        if self.in_flight == Some(peer) {
+            self.in_flight = None;
         }
         self.failures += 1;
-        self.avoid(peer, now);
+        self.exclude(peer, now);
         self.failures
     }
 
-    fn begin(
+    fn start(
         &mut self,
         peers: &Peers,
         held: u64,
         now: Time,
         random: &mut SmallRng,
-        measure: impl Fn(&Digest) -> u64,
+        revision_of: impl Fn(&Digest) -> u64,
     ) -> Option<SocketAddr> {
-        self.failed.retain(|(_, at)| now.since(*at) < DOUBTED);
-        if self.asked.is_some() {
+        self.failed.retain(|(_, at)| now.since(*at) < SUSPICION);
+        if self.in_flight.is_some() {
             return None;
         }
         let unfinished = self.unfinished.take();
-        let trust = |peer| self.trust(peer, now);
-        let next = unfinished.filter(|peer| peers.is_ahead(*peer, held, &measure));
-        self.asked = next.or_else(|| peers.ahead(held, measure, trust, now, random));
-        self.asked
+        let health = |peer| self.health(peer, now);
+        let next = unfinished.filter(|peer| peers.is_ahead(*peer, held, &revision_of));
+        self.in_flight = next.or_else(|| peers.pick_ahead(held, revision_of, health, now, random));
+        self.in_flight
     }
 }
 
@@ -114,11 +114,11 @@
         random: &mut SmallRng,
     ) -> Option<SocketAddr> {
         // What was refused here must not keep out what lies between it and the version in force.
-        let measure = |digest: &Digest| match digest.config {
+        let revision_of = |digest: &Digest| match digest.config {
             refused if fence.has_refused(refused) => 0,
             config => config,
         };
-        self.config.begin(peers, fence.version().revision, now, random, measure)
+        self.config.start(peers, fence.version().revision, now, random, revision_of)
     }
 
     pub(super) fn next_list(
@@ -128,9 +128,9 @@
         now: Time,
         random: &mut SmallRng,
     ) -> Option<(SocketAddr, Request)> {
-        let peer = self.list.begin(peers, held, now, random, |digest| digest.list)?;
-        let whole = std::mem::replace(&mut self.whole_list, false) || held == 0;
-        let have = if whole { None } else { Some(held) };
+        let peer = self.list.start(peers, held, now, random, |digest| digest.list)?;
+        let full = std::mem::replace(&mut self.full_list, false) || held == 0;
+        let have = if full { None } else { Some(held) };
         Some((peer, Request::Fetch(Fetch { have })))
     }
 
--- a/crates/fleet/src/listed/rumours.rs
+++ b/crates/fleet/src/listed/rumours.rs
@@ -12,40 +12,40 @@
 use crate::message::Rumour;
 
 /// Rumours in a summary.
-const A_SUMMARY: usize = 6;
+const MAX_PER_DIGEST: usize = 6;
 
 /// How many slices of summaries a rumour is told in.
 ///
 /// Three near nodes are told in each, so each node hears it from some fifteen others in the mean; at half as
 /// many, one in two hundred that missed the first word never heard it from two.
-const TELLINGS: u32 = 6;
+const TRANSMISSIONS: u32 = 6;
 
 /// Rumours that wait to be told; the oldest are dropped. Twice a fleet of the largest size: after the
 /// restart of all of them each is told of once.
-const WAITING_MOST: usize = 1_200;
+const MAX_PENDING: usize = 1_200;
 
 /// Rumours that are still to be told.
 #[derive(Debug, Default)]
 pub(super) struct Rumours {
-    waiting: VecDeque<(Rumour, u32)>,
+    pending: VecDeque<(Rumour, u32)>,
 }
 
 impl Rumours {
     /// Adds a rumour, in the place of an earlier one of the same node.
     pub(super) fn add(&mut self, rumour: Rumour) {
-        self.waiting.retain(|(other, _)| other.of.address != rumour.of.address);
-        if self.waiting.len() == WAITING_MOST {
-            self.waiting.pop_front();
+        self.pending.retain(|(other, _)| other.of.address != rumour.of.address);
+        if self.pending.len() == MAX_PENDING {
+            self.pending.pop_front();
         }
-        self.waiting.push_back((rumour, TELLINGS));
+        self.pending.push_back((rumour, TRANSMISSIONS));
     }
 
     /// Takes the rumours of the next summary, those first that were told least.
     pub(super) fn next(&mut self) -> Vec<Rumour> {
-        let count = self.waiting.len().min(A_SUMMARY);
-        let told: Vec<(Rumour, u32)> = self.waiting.drain(..count).collect();
-        let again = told.iter().filter(|(_, tellings)| *tellings > 1);
-        self.waiting.extend(again.map(|(rumour, tellings)| (*rumour, tellings - 1)));
-        told.into_iter().map(|(rumour, _)| rumour).collect()
+        let count = self.pending.len().min(MAX_PER_DIGEST);
+        let sent: Vec<(Rumour, u32)> = self.pending.drain(..count).collect();
+        let again = sent.iter().filter(|(_, remaining)| *remaining > 1);
+        self.pending.extend(again.map(|(rumour, remaining)| (*rumour, remaining - 1)));
+        sent.into_iter().map(|(rumour, _)| rumour).collect()
     }
 }
--- a/crates/fleet/src/listed/updates.rs
+++ b/crates/fleet/src/listed/updates.rs
@@ -7,7 +7,10 @@
     control::Effect,
     directory::Update,
     fence::Verdict,
-    listed::{Control, DOUBT, FAR_AUDIENCE, NEWS_BYTES, NEWS_CHANGES, PASSED_ON},
+    listed::{
+        Control, FAR_FANOUT, FORWARD_FANOUT, MAX_PIGGYBACK_BYTES, MAX_PIGGYBACK_CHANGES,
+        REMOVAL_GRACE,
+    },
     message::{News, Patch},
     source::{Answer, Bulletin, Failure, Query},
     timeline::Kind,
@@ -21,63 +24,63 @@
 }
 
 impl Control {
-    pub(super) fn hear_source(&mut self, answer: Answer, now: Now) {
+    pub(super) fn handle_answer(&mut self, answer: Answer, now: Now) {
         match answer {
-            Answer::News(bulletin) => self.hear_bulletin(bulletin, now),
+            Answer::News(bulletin) => self.apply_changeset(bulletin, now),
             Answer::Failed(_, Failure::Forgotten) => {
                 // An answer, if a useless one: the whole must be read again.
-                self.succeed(false, now);
-                self.read_to = None;
-                let wait = self.watch.begin(false);
+                self.record_platform_answer(false, now);
+                self.read_revision = None;
+                let wait = self.watch.start_call(false);
                 let query = Query::News { after: None, wait };
                 self.effects.push(Effect::Read(query));
             }
             Answer::Failed(_, failure) => {
-                if self.watch.fail(now.time, &mut self.random) {
-                    self.note(Kind::SourceLost { reason: failure.to_string() }, now);
+                if self.watch.record_failure(now.time, &mut self.random) {
+                    self.record(Kind::SourceLost { reason: failure.to_string() }, now);
                 }
             }
             Answer::Config(_) | Answer::List(_) | Answer::Unchanged(..) => {}
         }
     }
 
-    fn hear_bulletin(&mut self, bulletin: Bulletin, now: Now) {
+    fn apply_changeset(&mut self, bulletin: Bulletin, now: Now) {
         let has_news = bulletin.config.is_some() || !bulletin.list.is_empty();
-        self.succeed(has_news, now);
+        self.record_platform_answer(has_news, now);
         for fault in bulletin.faults {
-            self.note(Kind::SourceFault { fault }, now);
+            self.record(Kind::SourceFault { fault }, now);
         }
-        let doubt = self.watch.doubt(DOUBT, now.time);
+        let grace = self.watch.removal_grace(REMOVAL_GRACE, now.time);
         let before = self.holdings();
-        let mut is_new = self.merge(bulletin.list, None, doubt, now);
+        let mut is_new = self.merge_list(bulletin.list, None, grace, now);
         if let Some(delta) = bulletin.config {
-            self.note(Kind::Read { revision: delta.revision }, now);
+            self.record(Kind::Read { revision: delta.revision }, now);
             let set = self.fence.with(delta);
-            is_new |= self.offer(set, None, now);
+            is_new |= self.offer_config(set, None, now);
         }
-        self.read_to = self.read_to.max(Some(bulletin.revision));
+        self.read_revision = self.read_revision.max(Some(bulletin.revision));
         if is_new {
-            let targets = self.peers.audience(FAR_AUDIENCE, &mut self.random);
-            self.tell_since(before, targets, now);
+            let targets = self.peers.fanout(FAR_FANOUT, &mut self.random);
+            self.gossip_since(before, targets, now);
         }
     }
 
     /// Takes in the changes that came with a summary of `from`, if they follow on what is held here. Where
     /// they do not, the summary tells how far that node is, and what is lacking is pulled.
-    pub(super) fn hear_news(&mut self, news: News, from: SocketAddr, now: Now) {
+    pub(super) fn apply_piggyback(&mut self, news: News, from: SocketAddr, now: Now) {
         let held = self.directory.revision();
         let follows = |update: &Update| {
             update.revision > held && update.base.is_some_and(|base| (1..=held).contains(&base))
         };
         if let Some(update) = news.list.filter(|update| follows(update)) {
-            self.merge(*update, Some(from), Duration::ZERO, now);
+            self.merge_list(*update, Some(from), Duration::ZERO, now);
         }
         let in_force = self.fence.held();
         if let Some(patch) = news.config.filter(|patch| Some(patch.base) == in_force) {
             let set = self.fence.with(patch.delta);
             // What the digest does not prove is no more than a hint; it is pulled.
             if set.version() == patch.version {
-                self.offer(set, Some(from), now);
+                self.offer_config(set, Some(from), now);
             }
         }
     }
@@ -87,63 +90,63 @@
     }
 
     /// Tells `targets` what has come in since `before`, if it is little, and that it has come.
-    fn tell_since(&mut self, before: Holdings, targets: Vec<SocketAddr>, now: Now) {
-        let list = self.list_since(before, now).map(Box::new);
-        let news = News { list, config: self.config_since(before) };
-        self.tell_news(targets, news, now);
+    fn gossip_since(&mut self, before: Holdings, targets: Vec<SocketAddr>, now: Now) {
+        let list = self.list_changes_since(before, now).map(Box::new);
+        let news = News { list, config: self.config_patch_since(before) };
+        self.gossip_with(targets, news, now);
     }
 
-    fn list_since(&self, before: Holdings, now: Now) -> Option<Update> {
+    fn list_changes_since(&self, before: Holdings, now: Now) -> Option<Update> {
         if before.list == 0 || before.list == self.directory.revision() {
             return None;
         }
         let update = self.directory.since(Some(before.list), now.time);
-        (update.base.is_some() && update.changes() <= NEWS_CHANGES).then_some(update)
+        (update.base.is_some() && update.changes() <= MAX_PIGGYBACK_CHANGES).then_some(update)
     }
 
-    fn config_since(&self, before: Holdings) -> Option<Patch> {
+    fn config_patch_since(&self, before: Holdings) -> Option<Patch> {
         let base = before.config.filter(|_| before.config != self.fence.held())?;
-        let piece = self.fence.set().since_within(Some(base), NEWS_BYTES);
+        let piece = self.fence.set().since_within(Some(base), MAX_PIGGYBACK_BYTES);
         let patch = Patch { base, version: self.fence.version(), delta: piece.delta };
         (!piece.more).then_some(patch)
     }
 
-    fn succeed(&mut self, has_news: bool, now: Now) {
-        if self.watch.succeed(has_news, now.time) {
-            self.note(Kind::SourceBack, now);
+    fn record_platform_answer(&mut self, has_news: bool, now: Now) {
+        if self.watch.record_success(has_news, now.time) {
+            self.record(Kind::SourceBack, now);
         }
     }
 
     /// Merges an update of the list; returns whether it brought anything new.
-    pub(super) fn merge(
+    pub(super) fn merge_list(
         &mut self,
         update: Update,
         from: Option<SocketAddr>,
-        doubt: Duration,
+        grace: Duration,
         now: Now,
     ) -> bool {
         let before = self.holdings();
-        match self.directory.apply(update, doubt, now.time) {
+        match self.directory.apply(update, grace, now.time) {
             Ok(changes) => {
                 let orders = self.directory.take_changed_orders();
                 let is_new = !changes.is_empty() || !orders.is_empty();
-                self.note_changes(changes, from, now);
-                self.note_orders(orders, from, now);
+                self.record_changes(changes, from, now);
+                self.record_orders(orders, from, now);
                 if from.is_some() && self.directory.revision() > before.list {
-                    let targets = self.peers.some(PASSED_ON, &mut self.random);
-                    self.tell_since(before, targets, now);
+                    let targets = self.peers.forward_targets(FORWARD_FANOUT, &mut self.random);
+                    self.gossip_since(before, targets, now);
                 }
                 is_new
             }
             Err(_gap) => {
-                self.pulls.whole_list = true;
+                self.pulls.full_list = true;
                 false
             }
         }
     }
 
     /// Offers a set of documents to the fence; returns whether it came into force.
-    pub(super) fn offer(
+    pub(super) fn offer_config(
         &mut self,
         set: model::document::Set,
         from: Option<SocketAddr>,
@@ -152,22 +155,22 @@
         let before = self.holdings();
         match self.fence.offer(set) {
             Verdict::InForce(snapshot) => {
-                self.note(Kind::InForce { version: snapshot.version, from }, now);
+                self.record(Kind::InForce { version: snapshot.version, from }, now);
                 self.draft.clear();
                 self.effects.push(Effect::InForce(snapshot));
                 if from.is_some() {
-                    let targets = self.peers.some(PASSED_ON, &mut self.random);
-                    self.tell_since(before, targets, now);
+                    let targets = self.peers.forward_targets(FORWARD_FANOUT, &mut self.random);
+                    self.gossip_since(before, targets, now);
                 }
                 true
             }
             Verdict::Rejected(rejection) => {
                 let kind = Kind::Rejected { version: rejection.version, faults: rejection.faults };
-                self.note(kind, now);
+                self.record(kind, now);
                 false
             }
             Verdict::Conflict(offered) => {
-                self.note(Kind::Conflict { held: self.fence.version(), offered }, now);
+                self.record(Kind::Conflict { held: self.fence.version(), offered }, now);
                 false
             }
             Verdict::NotNewer | Verdict::KnownBad => false,
--- a/crates/fleet/src/listed/view.rs
+++ b/crates/fleet/src/listed/view.rs
@@ -7,7 +7,7 @@
     clock::Now,
     directory::{Entry, Standing},
     evacuation::Order,
-    listed::{Control, peers::Reach},
+    listed::{Control, peers::Liveness},
     member::State,
     status,
     view::{Upstream, View},
@@ -47,7 +47,7 @@
         self.directory.entries().map(member).collect()
     }
 
-    pub(super) fn view(&self, now: Now) -> View {
+    pub(super) fn build_view(&self, now: Now) -> View {
         // An upstream that fell silent stays listed until its entry lapses; by then its address may
         // belong to another one, whose entry is the later one.
         let mut latest: HashMap<SocketAddr, u64> = HashMap::new();
@@ -78,7 +78,7 @@
             state: self.state_of(entry, now),
             slots: entry.slots,
             cold_until: self.cold_until.get(&entry.id).copied().unwrap_or_default(),
-            taken_back: self.taken_back.get(&entry.data_centre).copied(),
+            taken_back: self.readmitted_at.get(&entry.data_centre).copied(),
         }
     }
 
@@ -93,10 +93,10 @@
         if entry.address == self.settings.upstream {
             return State::Live;
         }
-        match self.peers.reach(self.node_of(entry), now.time) {
-            Reach::Heard if self.peers.is_silent(&entry.data_centre) => State::Unreachable,
-            Reach::Heard => State::Live,
-            Reach::Leaving | Reach::Silent => State::Unreachable,
+        match self.peers.liveness(self.node_of(entry), now.time) {
+            Liveness::Alive if self.peers.is_silent(&entry.data_centre) => State::Unreachable,
+            Liveness::Alive => State::Live,
+            Liveness::Leaving | Liveness::Silent => State::Unreachable,
         }
     }
 
--- a/crates/fleet/src/listed/watch.rs
+++ b/crates/fleet/src/listed/watch.rs
@@ -63,33 +63,33 @@
 #[derive(Debug)]
 pub(super) struct Watch {
     settings: Settings,
-    busy: bool,
+    in_flight: bool,
     due: Time,
     failures: u32,
     /// First failure of those in a row.
     failing_since: Option<Time>,
     /// First answer after the latest outage.
-    returned: Option<Time>,
+    recovered_at: Option<Time>,
     /// Latest moment at which the platform answered any node, as far as known.
     contact: Option<Time>,
 }
 
 impl Watch {
-    pub(super) fn new(settings: Settings, begin: Time) -> Self {
+    pub(super) fn new(settings: Settings, first_call: Time) -> Self {
         Watch {
             settings,
-            busy: false,
-            due: begin,
+            in_flight: false,
+            due: first_call,
             failures: 0,
             failing_since: None,
-            returned: None,
+            recovered_at: None,
             contact: None,
         }
     }
 
     /// Tells whether no call is under way and the last pause is over.
     pub(super) fn is_idle(&self, now: Time) -> bool {
-        !self.busy && now >= self.due
+        !self.in_flight && now >= self.due
     }
 
     /// Returns how many nodes of one data centre watch where there are so many data centres.
@@ -99,42 +99,49 @@
 
     /// Tells whether an idle node at place `rank` of its data centre's order calls the platform, where
     /// word of a contact takes up to `spread` from node to node.
-    pub(super) fn is_due(&self, rank: usize, readers: usize, spread: Duration, now: Time) -> bool {
+    pub(super) fn should_call(
+        &self,
+        rank: usize,
+        readers: usize,
+        propagation_delay: Duration,
+        now: Time,
+    ) -> bool {
         if rank < readers {
             return true;
         }
-        let place = (rank - readers).min(self.settings.max_standby_steps) as u32;
-        let limit = self.settings.standby_after + spread + self.settings.standby_step * place;
-        let silent = self.contact.is_none_or(|contact| now.since(contact) > limit);
-        if silent {
+        let step = (rank - readers).min(self.settings.max_standby_steps) as u32;
+        let limit =
+            self.settings.standby_after + propagation_delay + self.settings.standby_step * step;
+        let is_stale = self.contact.is_none_or(|contact| now.since(contact) > limit);
+        if is_stale {
             cov_mark::hit!(listed_standby);
         }
-        silent
+        is_stale
     }
 
     /// Begins a call; returns how long the platform may hold it.
-    pub(super) fn begin(&mut self, lonely: bool) -> Duration {
-        self.busy = true;
-        if lonely { self.settings.bootstrap_wait } else { self.settings.wait }
+    pub(super) fn start_call(&mut self, is_alone: bool) -> Duration {
+        self.in_flight = true;
+        if is_alone { self.settings.bootstrap_wait } else { self.settings.wait }
     }
 
     /// Notes an answer; returns whether the platform had failed this node before.
-    pub(super) fn succeed(&mut self, has_news: bool, now: Time) -> bool {
-        self.busy = false;
+    pub(super) fn record_success(&mut self, has_news: bool, now: Time) -> bool {
+        self.in_flight = false;
         self.due = if has_news { now + self.settings.pause } else { now };
         self.failures = 0;
         let failed = self.failing_since.take().is_some();
-        self.touch(now);
+        self.record_contact(now);
         failed
     }
 
     /// Notes a failed call; returns whether it is the first in a row.
     ///
     /// The pause is random, or nodes that failed together would come back together.
-    pub(super) fn fail(&mut self, now: Time, random: &mut SmallRng) -> bool {
+    pub(super) fn record_failure(&mut self, now: Time, random: &mut SmallRng) -> bool {
         let doubled = self.settings.min_backoff * 2u32.pow(self.failures.min(8));
         let bound = doubled.min(self.settings.max_backoff);
-        self.busy = false;
+        self.in_flight = false;
         self.failures += 1;
         self.due = now + bound.mul_f64(random.random_range(0.5..1.0));
         let first = self.failing_since.is_none();
@@ -143,15 +150,15 @@
     }
 
     /// Calls again as soon as possible, as after a pause of the process.
-    pub(super) fn hurry(&mut self, now: Time) {
+    pub(super) fn call_now(&mut self, now: Time) {
         self.due = now;
     }
 
     /// Takes note of a contact that another node has heard of.
-    pub(super) fn hear(&mut self, age: Duration, now: Time) {
+    pub(super) fn record_remote_contact(&mut self, age: Duration, now: Time) {
         let at = Time::at(now.since(Time::default()).saturating_sub(age));
         if self.contact.is_none_or(|contact| contact < at) {
-            self.touch(at);
+            self.record_contact(at);
         }
     }
 
@@ -159,9 +166,9 @@
     ///
     /// A node that did not call in the outage, or hears of its end from others first, must not
     /// believe at once what lapsed.
-    fn touch(&mut self, at: Time) {
+    fn record_contact(&mut self, at: Time) {
         if self.contact.is_some_and(|contact| at.since(contact) > self.settings.outage) {
-            self.returned = Some(at);
+            self.recovered_at = Some(at);
         }
         self.contact = Some(at);
     }
@@ -176,9 +183,9 @@
         self.failing_since.is_some()
     }
 
-    /// Returns for how much longer removals are in doubt: `span` from the platform's return.
-    pub(super) fn doubt(&self, span: Duration, now: Time) -> Duration {
-        let returned = self.returned.map(|at| (at + span).since(now));
-        returned.unwrap_or_default()
+    /// Returns for how much longer removals are in doubt: `period` from the platform's return.
+    pub(super) fn removal_grace(&self, period: Duration, now: Time) -> Duration {
+        let grace = self.recovered_at.map(|at| (at + period).since(now));
+        grace.unwrap_or_default()
     }
 }
