--- a/crates/fleet/src/listed.rs
+++ b/crates/fleet/src/listed.rs
@@ -1,14 +1,8 @@
-//! The state machine of a node whose platform lists the upstreams.
+//! State machine of a node in list mode, where the platform's list names every upstream.
 //!
-//! [`crate::control`] finds the other nodes by their own word: it suits a platform that knows no
-//! more than addresses. Where the platform lists every upstream with its service, address and
-//! standing, that list decides who gets calls, and nodes need to tell each other only how far they
-//! hold configuration and list. They do so with small datagrams, [`Digest`]s, to others in turn, as many a
-//! second however many nodes there are. Small changes travel with them; what a node lacks besides it pulls
-//! from one that is ahead. Silence of a node that spoke before, or of a whole data centre, shows that it is
-//! out of reach.
-//!
-//! Invariant *one way in*: [`Control::apply`] is the only way to change the state.
+//! Nodes gossip [`Digest`]s as datagrams at a bounded rate: the revisions they hold, with small changes
+//! piggybacked. A node that is behind pulls from one that is ahead, and missing digests mark nodes and data
+//! centres unreachable. [`Control::apply`] is the only entry point that changes the state.
 
 mod changes;
 mod partition;
@@ -41,77 +35,70 @@
     view::View,
 };
 
-/// How long removals are in doubt after the platform's return.
+/// Grace period of removals after a platform outage.
 ///
-/// Entries that lapsed while it was away are back within two seconds if their upstreams live.
+/// Live upstreams register again within two seconds once their entries expired during the outage.
 const REMOVAL_GRACE: Duration = Duration::from_millis(2_200);
 
-/// Nodes of each other data centre that are told at once of news from the platform.
+/// Nodes of each other data centre that get changes from the platform at once.
 const FAR_FANOUT: usize = 2;
 
-/// Nodes that are told at once of news from another node.
+/// Nodes to which changes received from another node are forwarded at once.
 const FORWARD_FANOUT: usize = 3;
 
-/// Most changes of the list that travel with a summary. With five entries of some 170 bytes it is still one
-/// packet.
+/// Maximum number of list changes piggybacked on a digest; keeps it within one packet.
 const MAX_PIGGYBACK_CHANGES: usize = 5;
 
-/// Most bytes of documents that travel with a summary, for the same reason.
+/// Maximum size of documents piggybacked on a digest, in bytes; keeps it within one packet.
 const MAX_PIGGYBACK_BYTES: usize = 700;
 
-/// How long a node without configuration waits for the platform before it asks another node for
-/// the whole of it. Twice the time that the largest answers take on a slow link would be more; a
-/// platform that fails says so sooner, or is down.
+/// How long a node without configuration waits for the platform before it pulls a full copy from a peer.
 const PLATFORM_WAIT: Duration = Duration::from_millis(1_000);
 
-/// Speed of a link, in Mbit/s, below which a starting node listens for others before it calls the
-/// platform.
+/// Link speed, in Mbit/s, below which a starting node waits for peers before it calls the platform.
 ///
-/// The platform's answer holds half a megabyte for 2,000 routes, 0.8 s at 5 Mbit/s; other nodes send
-/// a fraction of that, compressed.
+/// Peers send the configuration compressed; the platform does not.
 const SLOW_LINK_MBPS: u32 = 25;
 
-/// How long such a node listens. One that goes on working speaks to it within two seconds over their
-/// number; after the end of all processes the first ones on fast links are ready after half a
-/// second.
+/// How long a starting node on a slow link waits for digests of peers before it calls the platform.
 const LISTEN_WAIT: Duration = Duration::from_millis(800);
 
-/// Random time added to [`LISTEN_WAIT`], so that nodes that heard nobody do not all call at once.
+/// Maximum jitter added to [`LISTEN_WAIT`], so that nodes without peers do not all call at once.
 const LISTEN_JITTER: Duration = Duration::from_millis(200);
 
-/// Time between two looks at who is silent.
+/// Interval between liveness checks and removals of expired entries.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Settings of a [`Control`].
+/// Settings of a [`Control`] state machine.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The platform's name of the instance.
     pub instance: String,
-    /// Service of its upstream.
+    /// Service of this node's upstream.
     pub service: String,
-    /// Its data centre.
+    /// Data centre of this node.
     pub data_centre: String,
     /// Address of this node for messages between nodes; all nodes use the same port.
     pub address: SocketAddr,
-    /// Port at which all nodes take calls of other nodes.
+    /// Port on which every node accepts requests forwarded by other nodes.
     pub traffic_port: u16,
-    /// Address of the upstream beside this node.
+    /// Address of this node's upstream.
     pub upstream: SocketAddr,
-    /// Life of this process.
+    /// Incarnation of this process; increases with each restart.
     pub incarnation: u64,
-    /// Speed of this node's link, in Mbit/s; 0 where it is not known.
+    /// Speed of this node's link, in Mbit/s; 0 if unknown.
     pub link_mbps: u32,
-    /// How long a starting node listens for others before it turns to the platform.
+    /// How long a starting node waits for peers before its first call to the platform.
     pub join_wait: Duration,
     /// When the platform is called.
     pub watch: watch::Settings,
-    /// Seed of all random choices.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Product version told to operators.
+    /// Product version reported in the status.
     pub product: String,
 }
 
-/// All control state of a node in listed mode.
+/// Control state of a node in list mode.
 pub struct Control {
     settings: Settings,
     clock: Clock,
@@ -124,11 +111,11 @@
     peers: Peers,
     pulls: Pulls,
     quarantine: Register,
-    /// Until when upstreams are cold, by their identities.
+    /// When each cold upstream counts as warm, by its identity.
     cold_until: BTreeMap<String, Time>,
-    /// When orders to evacuate a data centre were withdrawn.
+    /// When the evacuation of each data centre was withdrawn.
     readmitted_at: BTreeMap<String, Time>,
-    /// Revision up to which the platform's own answers are held.
+    /// Revision of the latest platform answer that this node read itself.
     read_revision: Option<u64>,
     started: Time,
     leaving: bool,
@@ -175,7 +162,7 @@
         control
     }
 
-    /// Takes one event into account and returns what is to be done, in order.
+    /// Applies one event and returns the resulting effects in order.
     pub fn apply(&mut self, event: Event, now: Now) -> Vec<Effect> {
         match event {
             Event::Tick => self.tick(now),
@@ -201,22 +188,22 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// Returns the events after `stamp`.
+    /// Returns the recorded events after `stamp`.
     pub fn events_after(&self, stamp: Stamp) -> Vec<Note> {
         self.ring.after(stamp)
     }
 
-    /// Tells whether configuration and list are held, so that calls can be judged.
+    /// Returns whether the node holds configuration and list, and is not leaving.
     pub fn is_ready(&self) -> bool {
         self.ready && !self.leaving
     }
 
-    /// Returns the list as this node holds it.
+    /// Returns this node's copy of the list of upstreams.
     pub fn directory(&self) -> &Directory {
         &self.directory
     }
 
-    /// Returns the revision of the configuration in force; 0 for none.
+    /// Returns the revision of the configuration in force; 0 if there is none.
     pub fn revision(&self) -> u64 {
         self.fence.version().revision
     }
@@ -228,7 +215,7 @@
             self.record_changes(changes, None, now);
             self.peers.prune(now.time);
             self.fence.hear_anew(self.peers.highest_config(now.time));
-            // Silence has no event of its own.
+            // No event reports a missed digest, so liveness is polled.
             self.view_stale |= self.peers.update_liveness(now.time);
         }
         let targets = self.peers.next_targets(now.time, &mut self.random);
@@ -246,11 +233,10 @@
         }
     }
 
-    /// Returns the revision up to which configuration and list are held, whoever told them.
+    /// Returns the revision up to which both configuration and list are held, whatever their source.
     ///
-    /// A watch need not tell again what came from others since this node's own last reading: after a
-    /// storm of changes that would be every version of the configuration, a megabyte each. The word
-    /// of others for one of the two things says nothing about how far the other is held.
+    /// A watch that starts here does not return again what peers already sent. It is the lower of the two
+    /// because peers send configuration and list separately.
     fn held_revision(&self) -> u64 {
         self.directory.revision().min(self.fence.version().revision)
     }
@@ -283,7 +269,7 @@
         let response = match request {
             Request::Pull(pull) => Response::Pull(self.fence.answer(&pull)),
             Request::Fetch(fetch) => Response::Fetch(self.directory.since(fetch.have, now.time)),
-            // Beats and exchanges of records belong to the mode without a list.
+            // Only the gossip discovery mode uses these.
             Request::Beat(_) | Request::Sync(_) => return,
         };
         self.effects.push(Effect::Reply(response));
@@ -318,7 +304,7 @@
         }
     }
 
-    /// Pulls what another node is ahead with, unless a pull is under way.
+    /// Starts pulls from peers that are ahead, at most one each for configuration and list.
     fn start_pulls(&mut self, now: Now) {
         if !self.should_await_platform(now) {
             let (peers, fence) = (&self.peers, &self.fence);
@@ -331,13 +317,13 @@
         self.send_pull(next);
     }
 
-    /// Takes into account that `peer` did not answer a pull in time.
+    /// Handles a pull that `peer` did not answer in time.
     fn handle_pull_failure(&mut self, asked: Asked, peer: SocketAddr, now: Now) {
         if asked == Asked::Pull {
             self.draft.lose();
         }
         let failures = self.pulls.fail(asked, peer, now.time);
-        // A night of failures must not push everything else out of the ring.
+        // Rate-limits the event, so that a long outage does not evict all others from the ring.
         if failures.is_power_of_two() {
             let asked = asked.name().to_owned();
             self.record(Kind::PullLost { peer, asked, failures }, now);
@@ -350,11 +336,10 @@
         }
     }
 
-    /// Tells whether a node without configuration should still wait for the platform's answer.
+    /// Returns whether a node without configuration should still wait for the platform's answer.
     ///
-    /// After a herd restart all nodes want the whole configuration at once. The platform's link
-    /// carries that; those of the nodes that went on working, which serve everybody meanwhile, may
-    /// not.
+    /// After a mass restart, full copies for every node could saturate the links of the peers that still
+    /// serve traffic.
     fn should_await_platform(&self, now: Now) -> bool {
         if is_slow(self.settings.link_mbps) {
             return false;
@@ -391,7 +376,7 @@
         self.effects.push(Effect::Tell(targets, digest));
     }
 
-    /// Returns a summary of what this node holds, and nothing of others.
+    /// Returns a digest of this node's own state, without rumours, changes or reports.
     fn digest(&self, now: Now) -> Digest {
         Digest {
             from: Sender { address: self.settings.address, incarnation: self.settings.incarnation },
@@ -409,7 +394,7 @@
         }
     }
 
-    /// Works out anew what depends on list and peers, if that has changed.
+    /// Emits effects for view, expected revision, quarantine and readiness where they have changed.
     fn publish_changes(&mut self, now: Now) {
         if std::mem::replace(&mut self.view_stale, false) {
             let view = Arc::new(self.build_view(now));
@@ -425,7 +410,7 @@
             self.ready = true;
             self.effects.push(Effect::Open);
             self.record(Kind::Ready { ready }, now);
-            // Starting nodes on slow links wait for a word of one that they can learn from.
+            // Starting nodes on slow links wait for the digest of a peer that they can pull from.
             let targets = self.peers.broadcast_targets(FAR_FANOUT, &mut self.random);
             self.gossip(targets, now);
         }
@@ -437,12 +422,12 @@
     }
 }
 
-/// Tells whether a link of `link_mbps` is slow; 0 stands for one of unknown speed.
+/// Returns whether a link of `link_mbps` is slow; 0 means unknown and does not count as slow.
 fn is_slow(link_mbps: u32) -> bool {
     (1..SLOW_LINK_MBPS).contains(&link_mbps)
 }
 
-/// Returns how long a starting node listens for others before it calls the platform.
+/// Returns how long a starting node waits for peers, with jitter; zero unless its link is slow.
 fn listen_wait(link_mbps: u32, random: &mut SmallRng) -> Duration {
     if !is_slow(link_mbps) {
         return Duration::ZERO;
--- a/crates/fleet/src/listed/changes.rs
+++ b/crates/fleet/src/listed/changes.rs
@@ -1,4 +1,4 @@
-//! What changes of the list mean for a node in listed mode: events, who is cold, who was taken back.
+//! Effects of list changes: timeline events, cold upstreams and readmitted data centres.
 
 use model::{service, time::Time};
 use std::{net::SocketAddr, time::Duration};
@@ -11,7 +11,7 @@
     timeline::Kind,
 };
 
-/// For how long it is remembered that a data centre was taken back: no upstream stays cold longer.
+/// How long the withdrawal of an evacuation is kept; the longest time that an upstream can stay cold.
 const READMISSION_RETENTION: Duration = Duration::from_millis(*service::COLD_MS.end());
 
 impl Control {
@@ -40,11 +40,11 @@
         }
     }
 
-    /// Takes note of how long an upstream stays cold. What it wrote took a moment to arrive here, so it
-    /// may be warm a little sooner.
+    /// Updates when an upstream counts as warm. It may be warm earlier, by the delay with which the change
+    /// arrived.
     fn update_cold_until(&mut self, entry: &Entry, change: Change, now: Time) {
         match change {
-            // What it wrote before is all that is known of it.
+            // The removal is pending, so the last entry still applies.
             Change::Doubted => {}
             _ if change == Change::Gone || entry.cold_ms == 0 => {
                 self.cold_until.remove(&entry.id);
--- a/crates/fleet/src/listed/partition.rs
+++ b/crates/fleet/src/listed/partition.rs
@@ -1,54 +1,44 @@
-//! Which data centres are within reach, where no node hears every other one within seconds.
+//! Detects unreachable data centres in fleets too large for every node to gossip with every other.
 //!
-//! Pattern: a data centre is cut off for six seconds. Among hundreds of nodes one hears each other one
-//! every twenty seconds, so the silence of a node shows nothing in time; all of the silent data centre
-//! together are heard every third of a second. Nodes also tell each other how long ago they themselves
-//! heard of each data centre, which makes up for summaries that were drawn late or were lost. Only what the
-//! sender heard itself counts: what was heard from others would be told round and round after the cut, a
-//! little younger each time.
+//! Digests of all nodes of a data centre count together, and nodes exchange the age of their own last
+//! contact with each. Ages received from others are not passed on: they would circulate without growing older.
 
 use model::time::Time;
 use std::{collections::BTreeMap, time::Duration};
 
-/// Silence of a whole data centre after which it counts as out of reach.
-///
-/// Nodes of the own data centre tell fifteen times a second how long ago they heard of the other one; that
-/// none of thirty heard a word for so long, of two or three a second and node that come from elsewhere, is no
-/// chance where there are enough of them.
+/// Time without contact of any node after which a data centre counts as unreachable.
 const SILENCE_LIMIT: Duration = Duration::from_secs(2);
 
-/// Longest age of the last word of the own data centre with which the silence of others counts. A node
-/// that hears nobody is cut off itself, or was starved, and learns nothing from silence.
+/// Maximum age of the last contact within the own data centre for a verdict on others. A node without it
+/// is cut off itself, or its process was stalled.
 const MAX_OWN_CONTACT_AGE: Duration = Duration::from_millis(600);
 
-/// Fewest other nodes of the own data centre for each other data centre with which silence counts.
-///
-/// Four of them hear ten contacts of each in [`SILENCE_LIMIT`], in the mean; that there is none of ten is one chance in
-/// twenty thousand. With fewer of them, or more data centres, it is a common one.
+/// Minimum number of other nodes of the own data centre per remote one for a verdict; with fewer, random
+/// target selection alone can exceed [`SILENCE_LIMIT`].
 const MIN_OBSERVERS_PER_DATA_CENTRE: usize = 4;
 
-/// Most nodes whose word about others arrives within [`SILENCE_LIMIT`].
+/// Maximum number of nodes whose ages arrive within [`SILENCE_LIMIT`].
 const MAX_OBSERVERS: usize = 30;
 
-/// Data centres that are remembered; another node's word names no more of them.
+/// Maximum number of tracked data centres; bounds memory against malformed digests.
 const MAX_DATA_CENTRES: usize = 64;
 
 #[derive(Clone, Copy, Debug)]
 struct Contact {
-    /// When a node of the data centre last spoke to this one.
+    /// Last digest from the data centre to this node.
     direct: Time,
-    /// When it spoke to any node, as far as known.
+    /// Last known digest from it to any node.
     any: Time,
 }
 
-/// When each data centre was last heard of.
+/// Last contact with each data centre.
 #[derive(Debug, Default)]
 pub(super) struct Detector {
     contacts: BTreeMap<String, Contact>,
 }
 
 impl Detector {
-    /// Notes that a node of `place` spoke to this one.
+    /// Records a digest from a node of `data_centre`.
     pub(super) fn record_contact(&mut self, data_centre: &str, now: Time) {
         let contact = Contact { direct: now, any: now };
         if let Some(known) = self.contacts.get_mut(data_centre) {
@@ -58,8 +48,8 @@
         }
     }
 
-    /// Notes that another node heard of data centres so many milliseconds ago. Those that this node never
-    /// heard of itself are left out.
+    /// Merges the contact ages of another node, in ms. Ignores data centres that this node has had no
+    /// contact with.
     pub(super) fn merge_ages(&mut self, ages_ms: &BTreeMap<String, u64>, now: Time) {
         for (data_centre, age) in ages_ms {
             if let Some(contact) = self.contacts.get_mut(data_centre) {
@@ -70,12 +60,12 @@
         }
     }
 
-    /// Forgets the silence so far: this process did not run, so it heard nobody.
+    /// Resets all ages after a pause of this process, during which it received nothing.
     pub(super) fn resume(&mut self, now: Time) {
         self.contacts.values_mut().for_each(|contact| contact.any = now);
     }
 
-    /// Returns how long ago each data centre but `own` spoke to this node itself, in ms.
+    /// Returns the age of this node's own last contact with each data centre but `own`, in ms.
     pub(super) fn ages_ms(&self, own: &str, now: Time) -> BTreeMap<String, u64> {
         let others = self.contacts.iter().filter(|(data_centre, _)| *data_centre != own);
         others
@@ -85,7 +75,7 @@
             .collect()
     }
 
-    /// Returns the data centres that fell silent, as seen by a node of `own` with `observers` others beside it.
+    /// Returns the unreachable data centres, as seen from `own` with `observers` other nodes in it.
     pub(super) fn silent(&self, own: &str, observers: usize, now: Time) -> Vec<String> {
         let is_connected = self
             .contacts
--- a/crates/fleet/src/listed/peers.rs
+++ b/crates/fleet/src/listed/peers.rs
@@ -1,4 +1,4 @@
-//! The nodes that a node in listed mode tells its summary to, and what it has heard of them.
+//! Peer table: last digest, liveness and gossip targets of every other node.
 
 use model::time::Time;
 use rand::{
@@ -21,84 +21,79 @@
     source,
 };
 
-/// Rounds without a summary of another node after which it counts as out of reach.
-///
-/// One or two summaries may be lost on the way; four in a row are not.
+/// Gossip rounds without a digest of a node after which it counts as silent; tolerates lost datagrams.
 const SILENT_ROUNDS: u32 = 4;
 
-/// Added to [`SILENT_ROUNDS`] for the time that a slow node needs.
+/// Margin added to [`SILENT_ROUNDS`] for scheduling delays on a loaded node.
 const SILENCE_MARGIN: Duration = Duration::from_millis(400);
 
-/// How long a node that said that it leaves counts as leaving without another word. A planned stop takes
-/// less; a later life of the node says so, but a node that stood still may have missed it.
+/// How long a node counts as leaving after its last announcement. Longer than a planned stop; expires in
+/// case the digest of the next incarnation was missed.
 const LEAVING_TTL: Duration = Duration::from_secs(10);
 
-/// Most nodes of the own data centre that are told at once of news. Beyond them those that were told pass
-/// the news on.
+/// Maximum number of nodes of the own data centre that get changes at once; they forward them to the rest.
 const MAX_NEAR_FANOUT: usize = 64;
 
-/// How long a node that is no longer listed is still told.
+/// How long a node stays in the table after it was last listed or heard.
 ///
-/// One that was killed while the platform was down knows nobody when it returns; it learns of the
-/// others from their summaries.
+/// A node that restarts during a platform outage learns of its peers only from their digests.
 const RETENTION: Duration = Duration::from_secs(60);
 
-/// For how long what a node holds counts as known after its last word. Four times the longest round, in
-/// which every node that goes on working speaks.
+/// How long the revisions in a digest count as known; four times the longest full-mesh round.
 const DIGEST_TTL: Duration = Duration::from_secs(8);
 
-/// How much an answer of another node can be counted on.
+/// How likely a node is to answer a pull.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(super) enum Health {
-    /// It is not to be asked now.
+    /// Failed recently; not to be asked.
     Excluded,
-    /// It is silent, or did not answer lately.
+    /// Silent, or failed within the suspicion period.
     Suspect,
-    /// Nothing speaks against it.
+    /// No known failure.
     Good,
 }
 
-/// How well a node is placed to be asked; what comes first weighs most.
+/// Preference among nodes to pull from, compared field by field.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 struct Score {
     health: Health,
-    /// Whether it is in the own data centre.
+    /// Whether it is in the same data centre.
     near: bool,
     link_mbps: u32,
 }
 
-/// What is known of another node.
+/// State of another node.
 #[derive(Clone, Debug)]
 pub(super) struct Peer {
-    /// Its last summary, without what that told of others.
+    /// Its last digest, without rumours, contact ages, changes and reports.
     pub(super) digest: Option<Digest>,
     heard: Time,
     listed: Time,
-    /// Whether it is in the own data centre.
+    /// Whether it is in the same data centre.
     near: bool,
-    /// Score in the rendezvous order.
+    /// Rendezvous hash weight.
     weight: u64,
     claim: Option<Claim>,
 }
 
-/// A rumour of a node that it did not contradict itself.
+/// The latest rumour about a node that is newer than its own last digest.
 #[derive(Clone, Copy, Debug)]
 struct Claim {
     rumour: Rumour,
-    /// Who told it first.
+    /// Node that sent it first.
     reporter: SocketAddr,
-    /// Since when it is confirmed: another node has told it as well.
+    /// When a second node confirmed it; none until then.
     confirmed: Option<Time>,
 }
 
 impl Rumour {
-    /// Returns what `digest` says of its sender.
+    /// Returns the status of the sender of `digest`.
     fn of(digest: &Digest) -> Rumour {
         Rumour { of: digest.from, leaving: digest.leaving }
     }
 
-    /// Tells whether this was said after `other`, by the same node: a later life follows on an earlier one,
-    /// and leaving is final within a life.
+    /// Returns whether this is newer than `other` about the same node: by incarnation, then by leaving, which
+    /// is final within an incarnation.
     fn supersedes(&self, other: &Rumour) -> bool {
         (self.of.incarnation, self.leaving) > (other.of.incarnation, other.leaving)
     }
@@ -110,7 +105,7 @@
         Peer { digest: None, heard: now, listed: now, near, weight, claim: None }
     }
 
-    /// Returns what the node last said of itself and when, directly or through others.
+    /// Returns the node's latest status and its time: from a confirmed rumour, or else from its own digest.
     fn last_status(&self) -> Option<(Rumour, Time)> {
         let claimed = self.claim.and_then(|claim| Some((claim.rumour, claim.confirmed?)));
         let own = || Some((Rumour::of(self.digest.as_ref()?), self.heard));
@@ -118,28 +113,28 @@
     }
 }
 
-/// Standing of another node, by its own word or its silence.
+/// Verdict of the failure detector on a node.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Liveness {
-    /// It was heard of lately, or is new.
+    /// Heard within the silence limit, or never heard so far.
     Alive,
-    /// It said that it takes no more work.
+    /// Announced that it accepts no more work.
     Leaving,
-    /// It was heard before and is silent now.
+    /// Heard before, and not within the silence limit.
     Silent,
 }
 
-/// All other nodes, by address for messages between nodes.
+/// All other nodes, by peer address.
 #[derive(Debug)]
 pub(super) struct Peers {
     own: SocketAddr,
     link_mbps: u32,
     data_centre: String,
-    /// Nodes that were not within reach when last looked at.
+    /// Nodes that were not alive at the last check.
     unreachable: Vec<(SocketAddr, Liveness)>,
-    /// Data centres that were silent when last looked at.
+    /// Data centres that were unreachable at the last check.
     silent: Vec<String>,
-    /// Nodes of the own data centre when last looked at.
+    /// Number of other nodes in the same data centre at the last check.
     near: usize,
     peers: BTreeMap<SocketAddr, Peer>,
     partitions: Detector,
@@ -167,7 +162,7 @@
         self.peers.is_empty()
     }
 
-    /// Looks at who is within reach; returns whether that has changed since the last look.
+    /// Updates the unreachable nodes and data centres; returns whether either set has changed.
     pub(super) fn update_liveness(&mut self, now: Time) -> bool {
         self.near = self.peers.values().filter(|peer| peer.near).count();
         let liveness =
@@ -188,17 +183,17 @@
         changed
     }
 
-    /// Tells whether a data centre was silent as a whole when last looked at.
+    /// Returns whether `data_centre` was unreachable as a whole at the last check.
     pub(super) fn is_silent(&self, data_centre: &str) -> bool {
         self.silent.iter().any(|silent| silent == data_centre)
     }
 
-    /// Tells whether every node tells every other one within seconds.
+    /// Returns whether every node gossips with every other within a round.
     fn is_full_mesh(&self) -> bool {
         rounds::is_full_mesh(self.peers.len())
     }
 
-    /// Returns the number of data centres with a node that was heard of, the own one included.
+    /// Returns the number of data centres with a node that sent a digest, and the own one.
     pub(super) fn data_centres(&self) -> usize {
         let digests = self.peers.values().filter_map(|peer| peer.digest.as_ref());
         let others = digests.map(|d| d.data_centre.as_str());
@@ -206,7 +201,7 @@
         all.len()
     }
 
-    /// Takes note of a node beside an upstream that is listed in `data_centre`.
+    /// Adds or refreshes a node whose upstream is listed in `data_centre`.
     pub(super) fn add_listed(&mut self, address: SocketAddr, data_centre: &str, now: Time) {
         if address == self.own {
             return;
@@ -217,7 +212,7 @@
         peer.near = near;
     }
 
-    /// Takes a summary into account; returns whether the standing of a node may have changed.
+    /// Applies a digest; returns whether the liveness of a node may have changed.
     pub(super) fn receive(&mut self, digest: Digest, now: Time) -> bool {
         let address = digest.from.address;
         if address == self.own {
@@ -244,7 +239,7 @@
         peer.heard = now;
         peer.near = near;
         peer.digest = Some(digest);
-        // Its own word goes before what others say of it.
+        // The node's own digest overrides rumours about it.
         peer.claim = None;
         if before.is_some_and(|before| before != status) && !self.is_full_mesh() {
             self.rumours.add(status);
@@ -254,9 +249,9 @@
         changed || before != Some(status) || was_silent
     }
 
-    /// Takes into account what `by` tells of another node; returns whether it is news and confirmed.
+    /// Applies a rumour from `reporter`; returns whether that confirmed it.
     fn receive_rumour(&mut self, rumour: Rumour, reporter: SocketAddr, now: Time) -> bool {
-        // Unknown names are not kept, whoever tells them: there is no bound on them.
+        // Unknown addresses are ignored, which bounds the table against malformed digests.
         let Some(peer) = self.peers.get_mut(&rumour.of.address) else { return false };
         let known = peer.last_status().map(|(status, _)| status);
         if rumour.of.address == reporter || known.is_some_and(|known| !rumour.supersedes(&known)) {
@@ -276,13 +271,13 @@
         }
     }
 
-    /// Returns the life of the node at `address`; 0 where it was never heard of.
+    /// Returns the incarnation of the node at `address`; 0 if it is unknown.
     pub(super) fn incarnation(&self, address: SocketAddr) -> u64 {
         let status = self.peers.get(&address).and_then(Peer::last_status);
         status.map_or(0, |(status, _)| status.of.incarnation)
     }
 
-    /// Returns what is told of others with the next summary.
+    /// Returns the contact ages, in ms, and the rumours for the next digest; empty in a full mesh.
     pub(super) fn indirect_state(&mut self, now: Time) -> (BTreeMap<String, u64>, Vec<Rumour>) {
         if self.is_full_mesh() {
             return (BTreeMap::new(), Vec::new());
@@ -290,18 +285,18 @@
         (self.partitions.ages_ms(&self.data_centre, now), self.rumours.next())
     }
 
-    /// Forgets the silence so far: this process did not run, so it heard nobody.
+    /// Resets all ages after a pause of this process, during which it received nothing.
     pub(super) fn resume(&mut self, now: Time) {
         self.peers.values_mut().for_each(|peer| peer.heard = now);
         self.partitions.resume(now);
     }
 
-    /// Drops nodes that are neither listed nor heard of.
+    /// Removes nodes that were neither listed nor heard within [`RETENTION`].
     pub(super) fn prune(&mut self, now: Time) {
         self.peers.retain(|_, p| now.since(p.listed) < RETENTION || now.since(p.heard) < RETENTION);
     }
 
-    /// Returns the standing of the node at `address`; nodes never heard of count as heard.
+    /// Returns the liveness of the node at `address`; unknown nodes count as alive.
     pub(super) fn liveness(&self, address: SocketAddr, now: Time) -> Liveness {
         self.peers.get(&address).map_or(Liveness::Alive, |peer| self.liveness_of(peer, now))
     }
@@ -317,17 +312,16 @@
         if status.leaving && age < LEAVING_TTL { Liveness::Leaving } else { Liveness::Alive }
     }
 
-    /// Returns how long a node that was heard may be silent until it counts as out of reach.
+    /// Returns the time without a digest after which a node counts as silent.
     fn silence_limit(&self, near: bool) -> Duration {
         let nodes = self.peers.len();
         let group = if near { self.near } else { nodes.saturating_sub(self.near) };
         rounds::round_time(nodes, group, near) * SILENT_ROUNDS + SILENCE_MARGIN
     }
 
-    /// Returns this node's place among the readers of its data centre.
+    /// Returns this node's rank in the reader order of its data centre.
     ///
-    /// Nodes with fast links come first: on a slow one, reading a large configuration takes all of
-    /// the link for the better part of a second, and calls wait behind it.
+    /// Nodes with fast links come first: on a slow one, reading a large configuration delays requests.
     pub(super) fn rank(&self, now: Time) -> usize {
         let own = (self.link_mbps, source::weight(self.own), self.own);
         let before = |address: &SocketAddr, peer: &Peer| {
@@ -339,20 +333,20 @@
         self.peers.iter().filter(|(address, peer)| before(address, peer)).count()
     }
 
-    /// Returns how much longer than in a small fleet word of a contact with the platform may take.
+    /// Returns the additional time that news of a platform contact takes beyond full-mesh gossip.
     pub(super) fn propagation_delay(&self) -> Duration {
         rounds::propagation_delay(self.peers.len())
     }
 
-    /// Returns the nodes whose turn it is to be told.
+    /// Returns the targets of the next digest; empty until the next slice is due.
     pub(super) fn next_targets(&mut self, now: Time, random: &mut SmallRng) -> Vec<SocketAddr> {
         let target =
             |(address, peer): (&SocketAddr, &Peer)| Target { address: *address, near: peer.near };
         self.rounds.next_targets(self.peers.iter().map(target), now, random)
     }
 
-    /// Returns the nodes to tell of news that this node was among the first to hear: those of the
-    /// own data centre, and some of each other one.
+    /// Returns the targets for changes read from the platform: nodes of the own data centre, and up to `far`
+    /// random nodes of each other one.
     pub(super) fn fanout(&self, far: usize, random: &mut SmallRng) -> Vec<SocketAddr> {
         let mut near = Vec::new();
         let mut others: BTreeMap<&str, Vec<SocketAddr>> = BTreeMap::new();
@@ -373,7 +367,7 @@
         near
     }
 
-    /// Returns the nodes to tell that this one can be learnt from.
+    /// Returns the targets for urgent messages: all nodes in a full mesh, else those of [`Peers::fanout`].
     pub(super) fn broadcast_targets(&self, far: usize, random: &mut SmallRng) -> Vec<SocketAddr> {
         if self.is_full_mesh() {
             self.peers.keys().copied().collect()
@@ -382,10 +376,10 @@
         }
     }
 
-    /// Returns some nodes drawn at random to pass news on to.
+    /// Returns up to `count` random nodes to forward changes to.
     ///
-    /// Among hundreds only those of the own data centre: each data centre hears of news from its own reader
-    /// and from those of others, and what everybody passed on anywhere would cross over and over again.
+    /// Beyond a full mesh only nodes of the own data centre, to limit traffic between data centres; readers
+    /// send the change to every data centre.
     pub(super) fn forward_targets(&self, count: usize, random: &mut SmallRng) -> Vec<SocketAddr> {
         let any_data_centre = self.is_full_mesh() || self.near == 0;
         let target = |(address, peer): (&SocketAddr, &Peer)| {
@@ -397,10 +391,10 @@
         all
     }
 
-    /// Draws one of the nodes that hold more than `held` by `revision_of`, the best placed first: those
-    /// that can be counted on, those of the own data centre, and those with the fastest links.
+    /// Picks a node whose revision by `revision_of` exceeds `held`, by [`Score`]: healthy nodes before others,
+    /// then the own data centre, then fast links.
     ///
-    /// A random one, since after a herd restart everybody asks at the same moment.
+    /// Ties are broken at random, to spread the load of a mass restart.
     pub(super) fn pick_ahead(
         &self,
         held: u64,
@@ -431,13 +425,13 @@
         best.choose(random).copied()
     }
 
-    /// Returns the highest revision of the configuration that a node told of lately; 0 for none.
+    /// Returns the highest configuration revision in a digest no older than [`DIGEST_TTL`]; 0 if none.
     pub(super) fn highest_config(&self, now: Time) -> u64 {
         let lately = self.peers.values().filter(|peer| now.since(peer.heard) < DIGEST_TTL);
         lately.filter_map(|peer| Some(peer.digest.as_ref()?.config)).max().unwrap_or(0)
     }
 
-    /// Tells whether `peer` holds more than `held` by `revision_of`.
+    /// Returns whether the revision of `peer` by `revision_of` exceeds `held`.
     pub(super) fn is_ahead(
         &self,
         peer: SocketAddr,
--- a/crates/fleet/src/listed/pull.rs
+++ b/crates/fleet/src/listed/pull.rs
@@ -1,4 +1,4 @@
-//! Which node is asked for what another one is ahead with.
+//! Selects the peer for each pull of configuration or list and tracks failed peers.
 
 use model::time::Time;
 use rand::rngs::SmallRng;
@@ -11,43 +11,42 @@
     message::{Digest, Fetch, Request},
 };
 
-/// How long a pull may take. A node that does not answer by then is left for another one, so that
-/// two nodes can be asked within the time in which a change must be in force. What does not cross a
-/// link in that time comes in pieces, see [`crate::catchup`].
+/// Timeout of a pull; allows a second peer to be asked before a change must be in force. Larger transfers
+/// are split into chunks, see [`crate::catchup`].
 pub(super) const TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// For how long a node that did not answer is not asked again.
+/// How long a node that did not answer is excluded.
 const EXCLUSION: Duration = Duration::from_secs(1);
 
-/// For how long any other node is asked before one that did not answer.
+/// How long nodes without a recent failure are preferred over one that did not answer.
 ///
-/// Two fast nodes that fell silent together are each given a second and avoided for a second; with no
-/// more than that one of them would always be due, and nodes elsewhere never asked.
+/// Longer than [`TIMEOUT`] and [`EXCLUSION`] together: otherwise two silent nodes with fast links would
+/// alternate, and nodes of other data centres would never be asked.
 const SUSPICION: Duration = Duration::from_secs(5);
 
-/// The pull of one thing.
+/// Pull state of one resource; at most one pull is in flight.
 #[derive(Debug, Default)]
 pub(super) struct Slot {
     in_flight: Option<SocketAddr>,
-    /// Nodes that did not answer, and when.
+    /// Nodes that did not answer, with the time of the failure.
     failed: Vec<(SocketAddr, Time)>,
-    /// The node that holds more of what the last pull brought.
+    /// Node that has more chunks of the last transfer.
     unfinished: Option<SocketAddr>,
-    /// Pulls in a row that brought no answer.
+    /// Consecutive pulls without an answer.
     failures: u32,
 }
 
-/// Pulls under way.
+/// Pull state of configuration and list.
 #[derive(Debug, Default)]
 pub(super) struct Pulls {
     pub(super) config: Slot,
     pub(super) list: Slot,
-    /// The next pull of the list asks for every entry.
+    /// Whether the next pull of the list asks for a full copy.
     pub(super) full_list: bool,
 }
 
 impl Slot {
-    /// Notes an answer of `peer`; returns whether it is one to the pull under way.
+    /// Records an answer of `peer`; returns whether it belongs to the pull in flight.
     pub(super) fn complete(&mut self, peer: SocketAddr) -> bool {
         if self.in_flight != Some(peer) {
             return false;
@@ -57,12 +56,12 @@
         true
     }
 
-    /// Has the next pull ask `peer`, which has not told everything yet.
+    /// Directs the next pull to `peer`, which has more chunks to send.
     pub(super) fn continue_with(&mut self, peer: SocketAddr) {
         self.unfinished = Some(peer);
     }
 
-    /// Asks `peer` nothing more for a while.
+    /// Excludes `peer` for [`EXCLUSION`].
     pub(super) fn exclude(&mut self, peer: SocketAddr, now: Time) {
         self.failed.push((peer, now));
     }
@@ -113,7 +112,7 @@
         now: Time,
         random: &mut SmallRng,
     ) -> Option<SocketAddr> {
-        // What was refused here must not keep out what lies between it and the version in force.
+        // A rejected version must not hide older acceptable ones that other peers hold.
         let revision_of = |digest: &Digest| match digest.config {
             refused if fence.has_refused(refused) => 0,
             config => config,
@@ -134,7 +133,7 @@
         Some((peer, Request::Fetch(Fetch { have })))
     }
 
-    /// Notes that `peer` did not answer; returns how many pulls in a row brought no answer.
+    /// Records that `peer` did not answer; returns the number of consecutive failures.
     pub(super) fn fail(&mut self, asked: Asked, peer: SocketAddr, now: Time) -> u32 {
         match asked {
             Asked::Pull => self.config.fail(peer, now),
--- a/crates/fleet/src/listed/reports.rs
+++ b/crates/fleet/src/listed/reports.rs
@@ -1,4 +1,4 @@
-//! What a node in listed mode makes of the ends of upstreams, its own and those that others tell of.
+//! Records crashes of this node's upstream and sends quarantine reports to peers.
 
 use model::request::Fingerprint;
 use std::net::SocketAddr;
@@ -24,8 +24,8 @@
         self.send_urgent_reports(now);
     }
 
-    /// Tells the others at once what the own upstream's end or answer shows: the next upstream may end within the
-    /// time that a call takes, and so may this node.
+    /// Sends new reports at once: a retry of the same request could crash another upstream before the next
+    /// digest, and this node may crash too.
     fn send_urgent_reports(&mut self, now: Now) {
         let targets = self.peers.broadcast_targets(FAR_FANOUT, &mut self.random);
         let found = self.quarantine.tell_at_once(now.time);
@@ -47,8 +47,7 @@
         self.effects.push(Effect::Quarantine(self.quarantine.shown().clone()));
     }
 
-    /// Tells a node that has just started what must not run: the first request that it is asked for may be such
-    /// a one.
+    /// Sends the quarantined requests to a node that has just started; its first request may be one of them.
     pub(super) fn send_reports_to_joiner(&mut self, node: SocketAddr, now: Now) {
         let held = self.quarantine.tell_newcomer(now.time);
         self.send_reports(vec![node], held, now);
--- a/crates/fleet/src/listed/rounds.rs
+++ b/crates/fleet/src/listed/rounds.rs
@@ -1,64 +1,53 @@
-//! Whose turn it is to be told a summary.
+//! Selects gossip targets, in shuffled round-robin order, at a rate that does not grow with the fleet.
 //!
-//! Pattern: hundreds of nodes, each on a tenth of a core. In a small fleet everybody tells everybody
-//! within two seconds, so silence shows who is gone. To keep that up, a node of 295 would send and take 147
-//! summaries a second, 30 KB each way, more the more nodes there are. Beyond [`MAX_FULL_MESH`] nodes a node
-//! sends a fixed number, more of them within its data centre, each group in turn. News spread as fast,
-//! since whoever has learnt them tells them on; who is gone is told by other means, see
-//! [`super::partition`] and [`super::rumours`].
+//! Up to [`MAX_FULL_MESH`] peers each gets a digest within [`MAX_ROUND`]. Beyond that a node sends a fixed
+//! number per slice, mostly within its data centre; [`super::partition`] and [`super::rumours`] then
+//! complement the failure detector.
 
 use model::time::Time;
 use rand::{rngs::SmallRng, seq::SliceRandom};
 use std::{net::SocketAddr, time::Duration};
 
-/// Summaries that a node sends in a second while it tells everybody. At 40, and about as many received,
-/// they take under 1 % of a core; with up to eight other nodes each is told five times a second.
+/// Digests that a node sends per second in a full mesh.
 const DIGESTS_PER_SECOND: usize = 40;
 
-/// Time between two slices of a round, and the shortest time of a round.
-///
-/// A round is told in slices, so that many nodes cost no burst of messages.
+/// Interval between slices of a round, and minimum length of a round; avoids bursts of datagrams.
 const SLICE: Duration = Duration::from_millis(200);
 
-/// Longest time in which every other node is told once, while everybody is told.
+/// Maximum length of a round in a full mesh.
 const MAX_ROUND: Duration = Duration::from_secs(2);
 
-/// Most other nodes of whom each is told within [`MAX_ROUND`] at [`DIGESTS_PER_SECOND`].
+/// Maximum number of peers of a full mesh.
 const MAX_FULL_MESH: usize = DIGESTS_PER_SECOND * MAX_ROUND.as_secs() as usize;
 
-/// Nodes of the own data centre that are told in a slice where not everybody is.
-///
-/// With one of another data centre in every [`SLICES_PER_FAR`]th slice this makes 17.5 summaries a second each way,
-/// some 5 KB with the network's headers, under the 8 KB that a node may spend on control.
+/// Digests per slice to nodes of the own data centre, beyond a full mesh.
 const NEAR_PER_SLICE: usize = 3;
 
-/// Slices from one node of another data centre that is told to the next.
-///
-/// At two in each slice, 300 nodes sent 38 MB of summaries between data centres in a minute, three quarters of
-/// all bytes there. Those within a data centre tell each other what they heard of the others.
+/// Slices per digest to a node of another data centre, beyond a full mesh; limits traffic between data
+/// centres.
 const SLICES_PER_FAR: u32 = 2;
 
-/// Another node, as far as turns are concerned.
+/// A candidate for the next digest.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Target {
     pub(super) address: SocketAddr,
-    /// Whether it is in the own data centre.
+    /// Whether it is in the same data centre.
     pub(super) near: bool,
 }
 
-/// The turns of all other nodes.
+/// Shuffled orders of the remaining targets.
 #[derive(Debug, Default)]
 pub(super) struct Rounds {
     all: Vec<SocketAddr>,
     near: Vec<SocketAddr>,
     far: Vec<SocketAddr>,
     due: Time,
-    /// Slices so far.
+    /// Number of slices sent; wraps around.
     slices: u32,
 }
 
 impl Rounds {
-    /// Returns the nodes whose turn it is.
+    /// Returns the targets of the next slice; empty until it is due.
     pub(super) fn next_targets(
         &mut self,
         targets: impl ExactSizeIterator<Item = Target> + Clone,
@@ -86,13 +75,13 @@
     }
 }
 
-/// Tells whether a node tells all of `nodes` others within [`MAX_ROUND`].
+/// Returns whether each of `nodes` peers gets a digest within [`MAX_ROUND`].
 pub(super) fn is_full_mesh(nodes: usize) -> bool {
     nodes <= MAX_FULL_MESH
 }
 
-/// Returns the time in which each of `nodes` others tells this one once, of whom `group` are in its own
-/// part, near or far.
+/// Returns the time within which each of `group` peers, out of `nodes` in all, sends this node a digest;
+/// `near` states whether the group is the own data centre.
 pub(super) fn round_time(nodes: usize, group: usize, near: bool) -> Duration {
     if is_full_mesh(nodes) {
         return full_mesh_round(nodes, DIGESTS_PER_SECOND);
@@ -104,8 +93,7 @@
     }
 }
 
-/// Returns how much longer word of a node takes to reach each of `nodes` others than where everybody is
-/// told: it passes over two more nodes, each of which waits for its next slice.
+/// Returns the additional propagation delay beyond a full mesh: two more hops, each of up to one slice.
 pub(super) fn propagation_delay(nodes: usize) -> Duration {
     if is_full_mesh(nodes) { Duration::ZERO } else { SLICE * 2 }
 }
@@ -115,7 +103,7 @@
     whole.max(SLICE)
 }
 
-/// Takes `count` nodes off the end of `order`, which is drawn anew where too few are left.
+/// Takes `count` nodes off the end of `order`, which is refilled and shuffled if it holds fewer.
 fn draw(
     order: &mut Vec<SocketAddr>,
     count: usize,
--- a/crates/fleet/src/listed/updates.rs
+++ b/crates/fleet/src/listed/updates.rs
@@ -1,4 +1,4 @@
-//! Takes in what is new, from the platform and from other nodes.
+//! Applies changes of configuration and list from the platform and from peers, and forwards them.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -16,7 +16,7 @@
     timeline::Kind,
 };
 
-/// How far list and configuration were held.
+/// Revisions of list and configuration held at one moment.
 #[derive(Clone, Copy, Debug)]
 struct Holdings {
     list: u64,
@@ -28,7 +28,7 @@
         match answer {
             Answer::News(bulletin) => self.apply_changeset(bulletin, now),
             Answer::Failed(_, Failure::Forgotten) => {
-                // An answer, if a useless one: the whole must be read again.
+                // The platform is reachable, but its history was compacted: read a full copy.
                 self.record_platform_answer(false, now);
                 self.read_revision = None;
                 let wait = self.watch.start_call(false);
@@ -65,8 +65,8 @@
         }
     }
 
-    /// Takes in the changes that came with a summary of `from`, if they follow on what is held here. Where
-    /// they do not, the summary tells how far that node is, and what is lacking is pulled.
+    /// Applies changes piggybacked on a digest of `from` if their base revision is held here. Otherwise the
+    /// digest's revisions lead to a pull.
     pub(super) fn apply_piggyback(&mut self, news: News, from: SocketAddr, now: Now) {
         let held = self.directory.revision();
         let follows = |update: &Update| {
@@ -78,7 +78,7 @@
         let in_force = self.fence.held();
         if let Some(patch) = news.config.filter(|patch| Some(patch.base) == in_force) {
             let set = self.fence.with(patch.delta);
-            // What the digest does not prove is no more than a hint; it is pulled.
+            // A set whose content hash differs is dropped; the version is pulled instead.
             if set.version() == patch.version {
                 self.offer_config(set, Some(from), now);
             }
@@ -89,7 +89,7 @@
         Holdings { list: self.directory.revision(), config: self.fence.held() }
     }
 
-    /// Tells `targets` what has come in since `before`, if it is little, and that it has come.
+    /// Gossips to `targets`, with the changes since `before` piggybacked if they are small.
     fn gossip_since(&mut self, before: Holdings, targets: Vec<SocketAddr>, now: Now) {
         let list = self.list_changes_since(before, now).map(Box::new);
         let news = News { list, config: self.config_patch_since(before) };
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Merges an update of the list; returns whether it brought anything new.
+    /// Merges an update of the list; returns whether anything changed.
     pub(super) fn merge_list(
         &mut self,
         update: Update,
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Offers a set of documents to the fence; returns whether it came into force.
+    /// Offers a configuration to the fence; returns whether it is now in force.
     pub(super) fn offer_config(
         &mut self,
         set: model::document::Set,
--- a/crates/fleet/src/listed/view.rs
+++ b/crates/fleet/src/listed/view.rs
@@ -1,5 +1,4 @@
-//! What a node in listed mode knows of the upstreams: the view that calls are sent by, and what
-//! operators are told.
+//! Builds the routing view and the operators' status from list, peers and evacuations.
 
 use std::{collections::HashMap, net::SocketAddr};
 
@@ -14,7 +13,7 @@
 };
 
 impl Control {
-    /// Returns what operators are told.
+    /// Returns the status of this node and of the members it knows.
     pub fn status(&mut self, now: Now) -> status::Node {
         status::Node {
             product: self.settings.product.clone(),
@@ -48,8 +47,8 @@
     }
 
     pub(super) fn build_view(&self, now: Now) -> View {
-        // An upstream that fell silent stays listed until its entry lapses; by then its address may
-        // belong to another one, whose entry is the later one.
+        // The entry of a dead upstream stays until it expires; a replacement may already use the same
+        // address, and its entry has the higher revision.
         let mut latest: HashMap<SocketAddr, u64> = HashMap::new();
         for entry in self.directory.entries() {
             let revision = latest.entry(entry.address).or_default();
@@ -82,7 +81,7 @@
         }
     }
 
-    /// Returns the standing of an upstream as far as calls are concerned.
+    /// Returns the routing state of an upstream.
     fn state_of(&self, entry: &Entry, now: Now) -> State {
         if entry.standing == Standing::Leaving {
             return State::Leaving;
--- a/crates/fleet/src/listed/watch.rs
+++ b/crates/fleet/src/listed/watch.rs
@@ -1,44 +1,38 @@
-//! When a node in listed mode calls the platform.
+//! Schedules the calls of a node to the platform, which are rate-limited.
 //!
-//! Calls are priced and limited, so in each data centre only the nodes that come first in a
-//! rendezvous order watch, three in the whole fleet or one in each data centre. The others step in when no answer of the platform has been heard of for
-//! longer than a watch takes, one after the other by their places in the order.
+//! The first nodes of each data centre in rendezvous order are readers and watch the platform. The others
+//! are standbys: one after the other, by rank, they call once the freshest known contact is too old.
 
 use model::time::Time;
 use rand::{RngExt, rngs::SmallRng};
 use std::time::Duration;
 
-/// When a node calls the platform.
+/// Timing of the calls of a node to the platform.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// Nodes that watch in the whole fleet, at least one in each data centre. Three, so that two
-    /// may be refused, silent or restarting while the third still hears of a change at once.
+    /// Readers in the whole fleet, divided among the data centres; at least one in each. With three,
+    /// two may fail without a delay.
     pub readers: usize,
-    /// How long the platform may hold a call of a node that knows no other one, as when the whole
-    /// fleet starts and nobody is listed yet.
+    /// How long the platform may hold a call of a node without peers, as when the whole fleet starts.
     pub bootstrap_wait: Duration,
-    /// How long the platform may hold a call. A connection that went silent shows only when this
-    /// time and the adapter's patience are over, so it is well under the two seconds in which an
-    /// upstream that leaves must be left alone.
+    /// How long the platform may hold a call. A dead connection is detected only after this time and the
+    /// adapter's timeout, so it has to be well below the time limit for list changes.
     pub wait: Duration,
-    /// Pause after an answer with news, so that a storm of changes costs few calls. An eighth of
-    /// the time in which a version must be in force.
+    /// Pause after an answer with changes; batches frequent changes.
     pub pause: Duration,
-    /// Age of the freshest contact after which the first node that is no reader steps in: the
-    /// wait of a watch and the time until its answer is heard of.
+    /// Age of the freshest contact after which the first standby calls; covers `wait` and the time until
+    /// other nodes know of the answer.
     pub standby_after: Duration,
-    /// Added to `standby_after` for each further place, so that one node steps in and not all.
+    /// Added to `standby_after` for each further rank, so that standbys do not all call at once.
     pub standby_step: Duration,
-    /// Most places that are counted for `standby_step`.
+    /// Maximum number of ranks that add `standby_step`.
     pub max_standby_steps: usize,
-    /// Time without any node's contact that counts as an outage of the platform. Entries lapse
-    /// after three missed heartbeats, which take longer; a call of one node that was lost, while
-    /// others were answered, is none.
+    /// Time without a contact of any node that counts as a platform outage. Shorter than three missed
+    /// heartbeats, after which entries expire.
     pub outage: Duration,
-    /// First upper bound of the random pause after a failed call; doubled up to `max_backoff`.
+    /// Initial upper bound of the backoff after a failed call; doubles up to `max_backoff`.
     pub min_backoff: Duration,
-    /// Upper bound of the random pause after failed calls. Below the two seconds in which entries
-    /// of upstreams are back after an outage.
+    /// Largest upper bound of the backoff; below the time in which upstreams register again after an outage.
     pub max_backoff: Duration,
 }
 
@@ -59,18 +53,18 @@
     }
 }
 
-/// The calls of one node to the platform.
+/// State of this node's calls to the platform.
 #[derive(Debug)]
 pub(super) struct Watch {
     settings: Settings,
     in_flight: bool,
     due: Time,
     failures: u32,
-    /// First failure of those in a row.
+    /// First of the current consecutive failures.
     failing_since: Option<Time>,
-    /// First answer after the latest outage.
+    /// First known contact after the latest outage.
     recovered_at: Option<Time>,
-    /// Latest moment at which the platform answered any node, as far as known.
+    /// Latest known answer of the platform to any node.
     contact: Option<Time>,
 }
 
@@ -87,18 +81,18 @@
         }
     }
 
-    /// Tells whether no call is under way and the last pause is over.
+    /// Returns whether no call is in flight and the last pause is over.
     pub(super) fn is_idle(&self, now: Time) -> bool {
         !self.in_flight && now >= self.due
     }
 
-    /// Returns how many nodes of one data centre watch where there are so many data centres.
+    /// Returns the number of readers in each of `data_centres` data centres.
     pub(super) fn readers(&self, data_centres: usize) -> usize {
         self.settings.readers.div_ceil(data_centres.max(1))
     }
 
-    /// Tells whether an idle node at place `rank` of its data centre's order calls the platform, where
-    /// word of a contact takes up to `spread` from node to node.
+    /// Returns whether an idle node of `rank` in its data centre calls the platform. News of a contact takes
+    /// up to `propagation_delay` longer than in a full mesh.
     pub(super) fn should_call(
         &self,
         rank: usize,
@@ -119,13 +113,13 @@
         is_stale
     }
 
-    /// Begins a call; returns how long the platform may hold it.
+    /// Starts a call; returns how long the platform may hold it.
     pub(super) fn start_call(&mut self, is_alone: bool) -> Duration {
         self.in_flight = true;
         if is_alone { self.settings.bootstrap_wait } else { self.settings.wait }
     }
 
-    /// Notes an answer; returns whether the platform had failed this node before.
+    /// Records an answer; returns whether it ends a series of failures.
     pub(super) fn record_success(&mut self, has_news: bool, now: Time) -> bool {
         self.in_flight = false;
         self.due = if has_news { now + self.settings.pause } else { now };
@@ -135,9 +129,7 @@
         failed
     }
 
-    /// Notes a failed call; returns whether it is the first in a row.
-    ///
-    /// The pause is random, or nodes that failed together would come back together.
+    /// Records a failed call and backs off with jitter; returns whether it is the first in a series.
     pub(super) fn record_failure(&mut self, now: Time, random: &mut SmallRng) -> bool {
         let doubled = self.settings.min_backoff * 2u32.pow(self.failures.min(8));
         let bound = doubled.min(self.settings.max_backoff);
@@ -149,12 +141,12 @@
         first
     }
 
-    /// Calls again as soon as possible, as after a pause of the process.
+    /// Ends the current pause or backoff.
     pub(super) fn call_now(&mut self, now: Time) {
         self.due = now;
     }
 
-    /// Takes note of a contact that another node has heard of.
+    /// Records a contact known to another node, by its age.
     pub(super) fn record_remote_contact(&mut self, age: Duration, now: Time) {
         let at = Time::at(now.since(Time::default()).saturating_sub(age));
         if self.contact.is_none_or(|contact| contact < at) {
@@ -162,10 +154,10 @@
         }
     }
 
-    /// Notes that the platform answered a node, and whether that ends an outage.
+    /// Records that the platform answered a node, and whether that ends an outage.
     ///
-    /// A node that did not call in the outage, or hears of its end from others first, must not
-    /// believe at once what lapsed.
+    /// Contacts of other nodes count too, so that the grace period of removals also applies on nodes that did
+    /// not call during the outage.
     fn record_contact(&mut self, at: Time) {
         if self.contact.is_some_and(|contact| at.since(contact) > self.settings.outage) {
             self.recovered_at = Some(at);
@@ -173,17 +165,17 @@
         self.contact = Some(at);
     }
 
-    /// Returns the age of the freshest known contact.
+    /// Returns the age of the latest known contact; none if there was no contact.
     pub(super) fn contact_age(&self, now: Time) -> Option<Duration> {
         self.contact.map(|contact| now.since(contact))
     }
 
-    /// Tells whether the platform fails this node.
+    /// Returns whether this node's last call failed.
     pub(super) fn is_failing(&self) -> bool {
         self.failing_since.is_some()
     }
 
-    /// Returns for how much longer removals are in doubt: `period` from the platform's return.
+    /// Returns the remaining grace period of removals, `period` from the end of the latest outage.
     pub(super) fn removal_grace(&self, period: Duration, now: Time) -> Duration {
         let grace = self.recovered_at.map(|at| (at + period).since(now));
         grace.unwrap_or_default()
