--- a/crates/fleet/tests/joining.rs
+++ b/crates/fleet/tests/joining.rs
@@ -1,4 +1,4 @@
-//! A starting node begins with the highest version that its peers hold.
+//! Choice of the peer from which a starting node pulls its first configuration.
 
 use fleet::{
     clock::{Now, Stamp},
@@ -45,7 +45,7 @@
     Event::Answered(address(port), Response::Beat(beat))
 }
 
-/// Applies events at their times; compares whom the node pulls from.
+/// Applies events at their times, in ms; compares the ports of the peers that the node pulls from.
 #[track_caller]
 fn check(events: &[(u64, Event)], expect: &[u16]) {
     let mut node = node();
@@ -60,10 +60,9 @@
     assert_eq!(pulled, expect);
 }
 
-/// A restarted till sells at yesterday's prices for a moment: it took its configuration from the
-/// first peer to speak, which had itself just come back from a cut.
+/// Guards against a restarted node that starts with the outdated configuration of the first peer to answer.
 #[test]
-fn the_highest_version_heard_in_the_first_moment_wins() {
+fn a_starting_node_pulls_the_highest_version_heard_within_the_join_wait() {
     let tick = Event::Tick;
     check(&[(10, beat(2, 5)), (20, beat(3, 9)), (30, beat(4, 7)), (450, tick.clone())], &[3]);
     check(&[(10, beat(2, 5)), (450, tick.clone())], &[2]);
--- a/crates/fleet/tests/large_config.rs
+++ b/crates/fleet/tests/large_config.rs
@@ -1,4 +1,4 @@
-//! A configuration that grows reaches nodes whose links are slow for its size.
+//! Transfer of large configurations to nodes on slow links.
 
 mod net;
 
@@ -6,22 +6,22 @@
 use net::{Net, Treatment};
 use std::time::Duration;
 
-const PLACES: [&str; 7] = ["a", "a", "a", "b", "b", "c", "c"];
+const DATA_CENTRES: [&str; 7] = ["a", "a", "a", "b", "b", "c", "c"];
 const FAST: u32 = 100;
 const SLOW: u32 = 5;
 
-/// Routes of a large site, and those that one change adds to them.
+/// Routes of a large site, and routes that one change adds.
 const ROUTES: usize = 1_600;
 const ADDED: usize = 1_400;
 
-/// Time within which a change must be in force everywhere, in ms.
-const IN_FORCE: u64 = 2_500;
+/// Time limit for a change to be in force on all nodes, in ms.
+const IN_FORCE_WITHIN_MS: u64 = 2_500;
 
-/// A calm fleet with the routes of a large site; one node of each data centre has a fast link.
-fn calm(slow: u32) -> Net {
-    let mut net = Net::new(&PLACES);
+/// Returns a settled fleet with the routes of a large site; one node per data centre has a fast link.
+fn settled(slow: u32) -> Net {
+    let mut net = Net::new(&DATA_CENTRES);
     net.links = vec![FAST, slow, slow, FAST, slow, FAST, slow];
-    (0..PLACES.len()).for_each(|node| net.start(node));
+    (0..DATA_CENTRES.len()).for_each(|node| net.start(node));
     net.store.routes = ROUTES;
     let revision = net.publish();
     net.until(10_000, |net| net.all(|n| n.open && n.in_force == revision));
@@ -29,35 +29,31 @@
     net
 }
 
-/// Callers of routes that were added minutes ago are told 404, for the rest of the day, wherever a
-/// node's link is slow. A change added so many routes that what a node lacked took longer to cross
-/// its link than one pull may take; the pull was given up, nothing of it was kept, and the next one
-/// asked for the same again. Seen as links that are full with answers of which none is ever used;
-/// proved by this test, which needs nothing but the size of the change and the speed of the link.
+/// Guards against a pull that times out on a slow link, keeps nothing and starts over for ever, so that
+/// added routes are answered with 404.
 #[test]
 fn a_change_larger_than_one_pull_reaches_nodes_on_slow_links() {
-    let mut net = calm(SLOW);
+    let mut net = settled(SLOW);
     net.store.routes += ADDED;
     let revision = net.publish();
-    net.until(IN_FORCE, |net| net.all(|n| n.in_force == revision));
+    net.until(IN_FORCE_WITHIN_MS, |net| net.all(|n| n.in_force == revision));
     assert!(net.regressions.is_empty());
 }
 
-/// On a link on which even a piece takes almost all the time of a pull, a change is late but arrives.
+/// On these links a single chunk takes almost the whole timeout of a pull.
 #[test]
-fn the_slowest_links_get_it_later() {
-    let mut net = calm(2);
+fn a_large_change_arrives_late_on_the_slowest_links() {
+    let mut net = settled(2);
     net.store.routes += ADDED;
     let revision = net.publish();
     net.until(8_000, |net| net.all(|n| n.in_force == revision));
     assert!(net.regressions.is_empty());
 }
 
-/// The platform takes longer to read than other nodes take to tell, so a node that starts learns
-/// from them; it must not begin anew with each change that is published meanwhile.
+/// Guards against a starting node that restarts its transfer with each version published meanwhile.
 #[test]
-fn a_starting_node_gets_there_while_changes_go_on() {
-    let mut net = calm(SLOW);
+fn a_starting_node_catches_up_during_frequent_changes() {
+    let mut net = settled(SLOW);
     net.kill(6);
     net.run(500);
     net.treat(6, Treatment::Refuse);
@@ -68,39 +64,39 @@
         net.run(200);
     }
     let revision = net.publish();
-    net.until(IN_FORCE, |net| net.all(|n| n.open && n.in_force == revision));
+    net.until(IN_FORCE_WITHIN_MS, |net| net.all(|n| n.open && n.in_force == revision));
     assert!(net.regressions.is_empty());
 }
 
-/// The node that tells a change ends midway; what it has told counts.
+/// Guards against losing received chunks when the sending node crashes.
 #[test]
-fn another_node_tells_the_rest() {
-    let mut net = calm(SLOW);
+fn a_transfer_resumes_from_another_node_after_its_source_crashes() {
+    let mut net = settled(SLOW);
     net.store.routes += ADDED;
     let revision = net.publish();
     net.run(300);
     net.kill(0);
-    net.until(IN_FORCE, |net| net.all(|n| n.in_force == revision));
+    net.until(IN_FORCE_WITHIN_MS, |net| net.all(|n| n.in_force == revision));
 }
 
-/// A node on a slow link hears of a change at once and holds it later. In between it knows that it is
-/// behind, and afterwards that it is not.
+/// Guards against a node that does not report that it is behind, or reports so after it has caught up.
 #[test]
-fn a_node_knows_while_it_is_behind() {
-    let mut net = calm(SLOW);
+fn the_expected_revision_is_known_before_a_slow_transfer_ends() {
+    let mut net = settled(SLOW);
     net.store.routes += ADDED;
     let revision = net.publish();
     net.until(500, |net| net.all(|n| n.expected == revision));
     assert!(net.node(6).in_force < revision);
-    net.until(IN_FORCE, |net| net.all(|n| n.in_force == revision && n.expected == revision));
+    net.until(IN_FORCE_WITHIN_MS, |net| {
+        net.all(|n| n.in_force == revision && n.expected == revision)
+    });
 }
 
-/// A link that carries no usual piece in the time of a pull, and one on which a question in four is
-/// lost: less is asked for, and what came before a loss counts.
+/// Guards against fixed chunk sizes, and against losing received chunks when a pull is lost.
 #[test]
-fn links_too_slow_for_a_piece_and_lossy_ones_get_it_too() {
+fn a_change_arrives_on_lossy_links_and_on_links_too_slow_for_a_chunk() {
     for (slow, lossy) in [(1, 0), (SLOW, 4)] {
-        let mut net = calm(2);
+        let mut net = settled(2);
         net.links.iter_mut().filter(|link| **link == 2).for_each(|link| *link = slow);
         net.pull_loss = lossy;
         net.store.routes += ADDED;
@@ -109,12 +105,11 @@
     }
 }
 
-/// Weights of some routes change four times a second. Told as whole groups of documents that would be
-/// most of the configuration each time, and a slow link would get none of these versions.
+/// Guards against sending whole buckets of documents for a small change, which would saturate a slow link.
 #[test]
-fn small_changes_reach_slow_links_while_they_go_on() {
-    let mut net = calm(SLOW);
-    net.store.touched = 20;
+fn frequent_small_changes_reach_nodes_on_slow_links() {
+    let mut net = settled(SLOW);
+    net.store.changed_routes = 20;
     let mut seen = 0;
     for _ in 0..40 {
         let before = net.node(6).in_force;
@@ -126,11 +121,10 @@
     assert!(net.regressions.is_empty());
 }
 
-/// Callers at a slow link are turned away for a minute, though other data centres hold the new version:
-/// the two nodes with fast links nearby told of it and then fell silent. Each was given a second and
-/// avoided for a second, so one of them was always due again.
+/// Guards against alternating between two silent nodes with fast links while nodes of other data centres
+/// hold the version.
 #[test]
-fn silent_nodes_do_not_keep_a_change_from_their_neighbours() {
+fn a_pull_moves_on_from_silent_nodes_to_other_data_centres() {
     let mut net = Net::new(&["a", "a", "a", "a", "b", "c"]);
     net.links = vec![FAST, FAST, SLOW, SLOW, FAST, FAST];
     (0..6).for_each(|node| net.start(node));
@@ -147,12 +141,11 @@
     net.until(6_000, |net| (2..4).all(|n| net.node(n).in_force == revision));
 }
 
-/// A node is paused some times while it catches up. Each pause left a question under way and asked
-/// another, and as each answer leads to the next question, they went on side by side.
+/// Guards against starting another pull after a pause while one is in flight.
 #[test]
-fn pauses_do_not_multiply_the_questions() {
-    let questions = |pauses| {
-        let mut net = calm(SLOW);
+fn process_pauses_do_not_multiply_pulls() {
+    let pulls = |pauses| {
+        let mut net = settled(SLOW);
         net.store.routes += ADDED;
         let revision = net.publish();
         net.until(1_000, |net| net.node(6).expected == revision);
@@ -164,14 +157,13 @@
         net.until(20_000, |net| net.node(6).in_force == revision);
         net.pulls_sent[6] - before
     };
-    assert!(questions(5) <= questions(0) + 2);
+    assert!(pulls(5) <= pulls(0) + 2);
 }
 
-/// The operators' newest version is bad, and a node that starts reads it first. It must serve with the
-/// one before, which the others hold.
+/// Guards against a restarted node that reads an invalid version first and does not get ready.
 #[test]
-fn a_node_starts_while_the_newest_version_is_bad() {
-    let mut net = calm(SLOW);
+fn a_node_starts_with_the_last_good_version_if_the_newest_is_invalid() {
+    let mut net = settled(SLOW);
     let good = net.node(1).in_force;
     net.publish_bad();
     net.run(1_000);
@@ -183,32 +175,33 @@
     assert_eq!((node.open, node.in_force, node.expected), (true, good, good));
 }
 
-/// A node that was cut off missed a good version and then read a bad one. The good one is newer than
-/// what it holds, and the others have it.
+/// Guards against a node that missed a valid version, rejects a later one and never pulls the valid one.
 #[test]
-fn a_refused_version_does_not_keep_the_one_before_it_out() {
-    let mut net = calm(SLOW);
-    (1..PLACES.len()).for_each(|node| net.set_cut(0, node, true));
+fn a_rejected_version_does_not_block_an_older_acceptable_one() {
+    let mut net = settled(SLOW);
+    (1..DATA_CENTRES.len()).for_each(|node| net.set_cut(0, node, true));
     net.treat(0, Treatment::Refuse);
     let good = net.publish();
-    net.until(IN_FORCE, |net| (1..PLACES.len()).all(|n| net.node(n).in_force == good));
+    net.until(IN_FORCE_WITHIN_MS, |net| {
+        (1..DATA_CENTRES.len()).all(|n| net.node(n).in_force == good)
+    });
     net.publish_bad();
     net.run(1_000);
     net.treat(0, Treatment::Serve);
     net.run(3_000);
-    (1..PLACES.len()).for_each(|node| net.set_cut(0, node, false));
+    (1..DATA_CENTRES.len()).for_each(|node| net.set_cut(0, node, false));
     net.until(5_000, |net| net.node(0).in_force == good && net.node(0).expected == good);
 }
 
-/// A version is read by one node and ends with it before another has it, while the platform is away.
-/// The others must not tell callers for ever to come back for it.
+/// Guards against answering for ever that a newer version is expected after its only holder crashed in a
+/// platform outage.
 #[test]
-fn a_version_that_went_with_its_holder_is_not_expected_for_ever() {
-    let mut net = calm(SLOW);
+fn a_version_lost_with_its_only_holder_is_no_longer_expected() {
+    let mut net = settled(SLOW);
     let held = net.node(1).in_force;
-    (1..PLACES.len()).for_each(|node| net.treat(node, Treatment::Silent));
+    (1..DATA_CENTRES.len()).for_each(|node| net.treat(node, Treatment::Silent));
     net.store.routes = 12_000;
-    net.links = vec![1; PLACES.len()];
+    net.links = vec![1; DATA_CENTRES.len()];
     let revision = net.publish();
     net.until(5_000, |net| net.node(1).expected == revision);
     net.kill(0);
--- a/crates/fleet/tests/large_fleet.rs
+++ b/crates/fleet/tests/large_fleet.rs
@@ -1,4 +1,4 @@
-//! Hundreds of nodes that share the platform's list: what each sends and hears, and how soon all know.
+//! Fleets of hundreds of nodes in list mode: cost of gossip per node, and convergence time.
 
 mod net;
 
@@ -10,41 +10,41 @@
 use net::{Net, address};
 use std::collections::BTreeMap;
 
-/// Nodes of one data centre of five.
-const PART: usize = 59;
-const PLACES: [&str; 5] = ["a", "b", "c", "d", "e"];
-const NODES: usize = PART * PLACES.len();
+/// Nodes in each of the five data centres.
+const NODES_PER_DATA_CENTRE: usize = 59;
+const DATA_CENTRES: [&str; 5] = ["a", "b", "c", "d", "e"];
+const NODES: usize = NODES_PER_DATA_CENTRE * DATA_CENTRES.len();
 
-/// Links of the first nodes of each data centre, and of all others, in Mbit/s.
+/// Link speed of the first nodes of each data centre, and of all others, in Mbit/s.
 const FAST: u32 = 100;
 const SLOW: u32 = 10;
-const FAST_NODES: usize = 3;
+const FAST_NODES_PER_DATA_CENTRE: usize = 3;
 
-/// Time in which a change is known at every node in touch, in ms.
-const KNOWN: u64 = 1_000;
+/// Time limit for a change to be known on every connected node, in ms.
+const KNOWN_WITHIN_MS: u64 = 1_000;
 
-/// Summaries that a node may send in ten seconds: it may spend 8 KB a second on control, both ways.
-const SUMMARIES: u64 = 180;
+/// Maximum number of digests that a node sends in ten seconds.
+const MAX_DIGESTS: u64 = 180;
 
-/// Of these, summaries to other data centres, whose links are shared by all.
-const FAR_SUMMARIES: u64 = 30;
+/// Maximum number of these that go to other data centres.
+const MAX_FAR_DIGESTS: u64 = 30;
 
-fn place(node: usize) -> usize {
-    node / PART
+fn data_centre(node: usize) -> usize {
+    node / NODES_PER_DATA_CENTRE
 }
 
 fn fleet(parts: usize) -> Net {
-    let zones: Vec<&'static str> = (0..PLACES.len() * parts).map(|n| PLACES[n / parts]).collect();
+    let zones: Vec<&'static str> =
+        (0..DATA_CENTRES.len() * parts).map(|n| DATA_CENTRES[n / parts]).collect();
     let mut net = Net::new(&zones);
-    let speed = |node: usize| if node % parts < FAST_NODES { FAST } else { SLOW };
+    let speed = |node: usize| if node % parts < FAST_NODES_PER_DATA_CENTRE { FAST } else { SLOW };
     net.links = (0..zones.len()).map(speed).collect();
     net
 }
 
-/// Upstreams of a sound data centre get no calls for moments, again and again, because among many data
-/// centres one was not heard of for a while by chance.
+/// Guards against false positives of the partition detector, by chance, in fleets with many data centres.
 #[test]
-fn nobody_is_missed_in_a_calm_fleet_of_any_shape() {
+fn no_upstream_is_unreachable_in_a_healthy_fleet_of_any_shape() {
     for (places, part) in [(5, 20), (50, 2), (12, 9), (2, 50)] {
         let names: Vec<&'static str> = (0..places).map(|n| &*format!("place-{n}").leak()).collect();
         let zones: Vec<&'static str> = (0..places * part).map(|n| names[n / part]).collect();
@@ -60,83 +60,84 @@
     }
 }
 
-fn calm() -> Net {
-    let mut net = fleet(PART);
+fn settled() -> Net {
+    let mut net = fleet(NODES_PER_DATA_CENTRE);
     net.until(4_000, |net| net.all(|n| n.open && n.view.iter().count() == NODES));
     net.run(4_000);
     net
 }
 
-/// Every call is slow although its upstream is not: at 295 nodes each one sent and took 147 summaries a
-/// second, since every node was told by every other one within two seconds, and a core of a tenth that
-/// does that has less for calls the more nodes there are.
+/// Guards against gossip whose rate per node grows with the number of nodes and takes CPU time from calls.
 #[test]
-fn a_node_s_summaries_do_not_grow_with_the_fleet() {
+fn digest_traffic_per_node_does_not_grow_with_the_fleet() {
     let mut costs = Vec::new();
-    for part in [20, PART] {
+    for part in [20, NODES_PER_DATA_CENTRE] {
         let mut net = fleet(part);
         net.run(6_000);
-        let (told, far) = (net.digests_sent.clone(), net.far_digests_sent.clone());
-        let heard = net.bytes_received.clone();
+        let (sent_before, far_before) = (net.digests_sent.clone(), net.far_digests_sent.clone());
+        let received_before = net.bytes_received.clone();
         net.run(10_000);
         let nodes = net.digests_sent.len();
-        let sent =
-            (0..nodes).map(|n| net.digests_sent[n] - told[n]).max().expect("there are nodes");
+        let sent = (0..nodes)
+            .map(|n| net.digests_sent[n] - sent_before[n])
+            .max()
+            .expect("there are nodes");
         let bytes: u64 =
-            (0..nodes).map(|n| net.bytes_received[n] - heard[n]).sum::<u64>() / nodes as u64;
-        let sent_far =
-            (0..nodes).map(|n| net.far_digests_sent[n] - far[n]).max().expect("there are nodes");
-        assert!(sent <= SUMMARIES, "{sent} of one node in ten seconds");
-        assert!(sent_far <= FAR_SUMMARIES, "{sent_far} of one node to other data centres");
+            (0..nodes).map(|n| net.bytes_received[n] - received_before[n]).sum::<u64>()
+                / nodes as u64;
+        let sent_far = (0..nodes)
+            .map(|n| net.far_digests_sent[n] - far_before[n])
+            .max()
+            .expect("there are nodes");
+        assert!(sent <= MAX_DIGESTS, "{sent} of one node in ten seconds");
+        assert!(sent_far <= MAX_FAR_DIGESTS, "{sent_far} of one node to other data centres");
         costs.push(bytes);
     }
     assert!(costs[1] * 10 <= costs[0] * 12, "{costs:?} bytes of one node in ten seconds");
 }
 
 #[test]
-fn a_version_is_in_force_at_hundreds_in_a_second() {
-    let mut net = calm();
+fn a_version_is_in_force_on_hundreds_of_nodes_within_a_second() {
+    let mut net = settled();
     let revision = net.publish();
-    net.until(KNOWN, |net| net.all(|n| n.in_force == revision));
+    net.until(KNOWN_WITHIN_MS, |net| net.all(|n| n.in_force == revision));
     assert!(net.regressions.is_empty());
 }
 
-/// Links between data centres are full of control: each of 295 nodes passed a change on to three others
-/// anywhere, so it crossed seven hundred times.
+/// Guards against forwarding each change to random nodes of any data centre.
 #[test]
 fn a_change_crosses_between_data_centres_few_times() {
-    let mut net = calm();
+    let mut net = settled();
     let before: u64 = net.far_digests_sent.iter().sum();
     let revision = net.publish();
-    let took = net.until(KNOWN, |net| net.all(|n| n.in_force == revision));
-    let turns = NODES as u64 * FAR_SUMMARIES * (took + 400) / 10_000;
+    let took = net.until(KNOWN_WITHIN_MS, |net| net.all(|n| n.in_force == revision));
+    let turns = NODES as u64 * MAX_FAR_DIGESTS * (took + 400) / 10_000;
     let far = net.far_digests_sent.iter().sum::<u64>() - before;
     assert!(far <= turns + NODES as u64 / 4, "{far}, of which {turns} in turn");
 }
 
-/// Calls wait behind control: each change of a few bytes was a question of every node with a connection of
-/// its own, hundreds of them at the node that had it first.
+/// Guards against a pull by every node for a change that fits into a digest.
 #[test]
-fn a_small_change_is_asked_for_by_few() {
-    let mut net = calm();
+fn a_small_change_is_pulled_by_few_nodes() {
+    let mut net = settled();
     let before: u64 = net.pulls_sent.iter().sum();
     let revision = net.publish();
-    net.until(KNOWN, |net| net.all(|n| n.in_force == revision));
+    net.until(KNOWN_WITHIN_MS, |net| net.all(|n| n.in_force == revision));
     let asked = net.pulls_sent.iter().sum::<u64>() - before;
     assert!(asked <= NODES as u64 / 10, "{asked}");
 }
 
-/// A payment goes to an upstream that leaves, because its entry node had not heard of it.
+/// Guards against calls to an upstream that has left, also with lost digests.
 #[test]
-fn an_upstream_that_leaves_is_known_at_hundreds_in_a_second() {
+fn a_leaving_upstream_is_known_on_hundreds_of_nodes_within_a_second() {
     for lossy in [0, 10] {
-        let mut net = calm();
+        let mut net = settled();
         net.digest_loss = lossy;
         net.register(100, "i-100", Standing::Leaving);
-        net.until(KNOWN, |net| (0..NODES).all(|n| !is_target(net, n, 100)));
+        net.until(KNOWN_WITHIN_MS, |net| (0..NODES).all(|n| !is_target(net, n, 100)));
         net.unregister("i-100");
         net.register(100, "i-100-next", Standing::Ready);
-        net.until(KNOWN, |net| (0..NODES).all(|n| net.is_target(n, "i-100-next")));
+        net.until(KNOWN_WITHIN_MS, |net| (0..NODES).all(|n| net.is_target(n, "i-100-next")));
     }
 }
 
@@ -144,25 +145,24 @@
     net.is_target(node, &format!("i-{target}"))
 }
 
-/// A payment goes to a node that stops: one summary in ten is lost, the node has said once that it
-/// leaves, and it died right after.
+/// Guards against calls to a node that crashes right after a single leave digest, with one digest in ten
+/// lost.
 #[test]
-fn a_node_that_leaves_and_dies_is_known_at_hundreds() {
-    let mut net = calm();
+fn a_node_that_leaves_and_crashes_is_known_on_hundreds_of_nodes() {
+    let mut net = settled();
     net.digest_loss = 10;
     net.inject(70, Event::Leave);
     net.kill(70);
-    net.until(KNOWN, |net| (0..NODES).all(|n| n == 70 || !is_target(net, n, 70)));
+    net.until(KNOWN_WITHIN_MS, |net| (0..NODES).all(|n| n == 70 || !is_target(net, n, 70)));
 }
 
-/// Calls go on to a data centre that is cut off for six seconds, each of them in vain: at 295 nodes one
-/// that fell silent was noticed after 8.4 s, since four rounds of summaries had to pass.
+/// Guards against detecting a partitioned data centre only after several full gossip rounds.
 #[test]
-fn a_data_centre_that_is_cut_off_is_left_alone_and_found_again() {
-    let mut net = calm();
+fn a_partitioned_data_centre_gets_no_calls_until_it_reconnects() {
+    let mut net = settled();
     set_cut(&mut net, true);
     let own = |net: &Net, n: usize| {
-        let is_own = |t: &usize| (place(*t) == 0) == (place(n) == 0);
+        let is_own = |t: &usize| (data_centre(*t) == 0) == (data_centre(n) == 0);
         (0..NODES).filter(is_own).count() == net.target_count(n)
     };
     net.until(4_000, |net| [0, 30, 100, 294].iter().all(|n| own(net, *n)));
@@ -170,28 +170,28 @@
     net.until(1_500, |net| (0..NODES).all(|n| net.target_count(n) == NODES));
 }
 
-/// Cuts the first data centre off, or connects it again.
+/// Partitions the first data centre from the others, or reconnects it.
 fn set_cut(net: &mut Net, cut: bool) {
-    for a in 0..PART {
-        for b in PART..NODES {
+    for a in 0..NODES_PER_DATA_CENTRE {
+        for b in NODES_PER_DATA_CENTRE..NODES {
             net.set_cut(a, b, cut);
         }
     }
 }
 
-/// The platform is called by a few nodes, also of hundreds, and also when all of them start at once.
+/// Guards against a number of platform calls that grows with the fleet.
 #[test]
 fn few_of_hundreds_call_the_platform() {
-    let mut net = calm();
+    let mut net = settled();
     let before = net.reads;
     net.run(10_000);
-    // One reader in each of five places, a call at a time of 0.8 s.
+    // One reader in each of five data centres, each call held for 0.8 s.
     assert!(net.reads - before <= 5 * 13, "{}", net.reads - before);
 }
 
 #[test]
-fn a_herd_of_hundreds_is_ready_soon_and_calls_the_platform_little() {
-    let mut net = calm();
+fn a_mass_restart_of_hundreds_is_ready_soon_with_few_platform_calls() {
+    let mut net = settled();
     (0..NODES).for_each(|node| net.kill(node));
     net.run(500);
     (0..NODES).for_each(|node| net.start(node));
@@ -201,11 +201,11 @@
     assert!(net.reads - before <= NODES as u64, "{}", net.reads - before);
 }
 
-/// During an upgrade a change reaches half of the nodes only: those of the former product version, which
-/// neither carry changes in their summaries nor understand them there.
+/// Guards against changes that reach only half of the nodes during an upgrade from a version without
+/// piggybacked changes.
 #[test]
 fn nodes_of_two_product_versions_agree() {
-    let mut net = fleet(PART);
+    let mut net = fleet(NODES_PER_DATA_CENTRE);
     net.old_version = (0..NODES).step_by(2).collect();
     net.until(4_000, |net| net.all(|n| n.open && n.view.iter().count() == NODES));
     net.run(2_000);
@@ -217,11 +217,11 @@
     assert!(net.regressions.is_empty());
 }
 
-/// All work of others stops: one node, by a fault or on purpose, says of each of them that it leaves, names
-/// thousands that nobody knows, and gives times that no clock shows.
+/// Guards against one faulty or malicious node that takes others out of service with false rumours, unknown
+/// addresses and extreme ages.
 #[test]
-fn one_node_that_lies_moves_nobody() {
-    let mut net = calm();
+fn false_rumours_of_one_node_change_no_liveness() {
+    let mut net = settled();
     for round in 0..200_u64 {
         let about = |n: usize| Rumour {
             of: Sender { address: address((round as usize * 50 + n) % NODES), incarnation: 1 },
--- a/crates/fleet/tests/leaving.rs
+++ b/crates/fleet/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! Leaving, being told to leave, pauses and false suspicion.
+//! Planned stops, instances listed as leaving, process pauses and false suspicion.
 
 use fleet::member::State;
 use standins::memory::{Net, Options, address};
@@ -16,7 +16,7 @@
     net.control(node)?.roster().get(address(peer)).map(|r| r.state)
 }
 
-/// Compares, at every other running node, whether `peer` takes work.
+/// Compares, on every other running node, whether `peer` takes work.
 #[track_caller]
 fn check(net: &Net, peer: usize, expect: bool) {
     for node in (0..net.len()).filter(|&n| n != peer && net.control(n).is_some()) {
@@ -25,8 +25,7 @@
     }
 }
 
-/// A guest's cover is posted to an upstream that is shutting down, because some node had not heard
-/// of it two seconds later.
+/// Guards against calls to an upstream that is shutting down.
 #[test]
 fn all_nodes_know_of_a_planned_stop_within_two_seconds() {
     let mut net = net(120);
@@ -36,7 +35,7 @@
 }
 
 #[test]
-fn the_platforms_word_makes_a_node_leave() {
+fn a_node_that_is_listed_as_leaving_leaves() {
     let mut net = net(24);
     net.list_leaving(5);
     net.run(Duration::from_secs(2));
@@ -44,9 +43,9 @@
     assert!(!net.is_working(5));
 }
 
-/// The list still shows a stopped instance as live: that must not bring it back.
+/// Guards against a list that still shows a stopped instance as live.
 #[test]
-fn the_list_never_revives() {
+fn a_stale_list_does_not_revive_a_stopped_instance() {
     let mut net = net(24);
     net.stop(5);
     net.list_all();
@@ -54,10 +53,9 @@
     check(&net, 5, false);
 }
 
-/// An instance is replaced in place. The list still says that the old one leaves; the new one has
-/// another name and must get work.
+/// Guards against applying the leaving status of a replaced instance to its successor.
 #[test]
-fn a_new_life_at_the_same_address_takes_work() {
+fn a_new_incarnation_at_the_same_address_takes_work() {
     let mut net = net(24);
     net.stop(5);
     net.start(5);
@@ -73,10 +71,10 @@
     check(&net, 5, false);
 }
 
-/// Every upstream disappears at dawn: one node was paused for a minute, found on waking that its
-/// probes had timed out, and told the whole fleet that everybody was unreachable.
+/// Guards against a node that, after a pause of its process, takes its expired probes for failures of all
+/// peers.
 #[test]
-fn a_woken_node_doubts_itself_first() {
+fn a_resumed_node_marks_no_peer_unreachable() {
     cov_mark::check!(doubt_after_pause);
     let mut net = net(24);
     net.pause(5, Duration::from_secs(60));
@@ -88,10 +86,9 @@
     check(&net, 5, true);
 }
 
-/// A node had begun to suspect others when it was paused. When it wakes, their time to contradict
-/// seems long over; it must hear them first, or it tells everybody that they are out of reach.
+/// Guards against counting the pause of a process as time that suspected peers had to refute the suspicion.
 #[test]
-fn a_suspicion_from_before_a_pause_is_not_executed() {
+fn a_suspicion_from_before_a_pause_does_not_expire_on_resume() {
     let mut net = net(24);
     net.separate(5, 1);
     net.run(Duration::from_millis(2_300));
@@ -106,9 +103,9 @@
     }
 }
 
-/// A platform that has lost its records lists one instance; believing it would empty every service.
+/// Guards against a platform that has lost its records and lists a single instance.
 #[test]
-fn a_list_that_shrinks_suddenly_ends_no_lives() {
+fn a_list_that_shrinks_suddenly_removes_no_instance() {
     cov_mark::check!(listing_shrinks);
     let mut net = net(24);
     net.list_only(&[3]);
@@ -118,7 +115,7 @@
     }
 }
 
-/// An instance that the list no longer has is gone, even if its node still answers.
+/// Guards against calls to an instance that is no longer listed but whose node still answers.
 #[test]
 fn an_unlisted_instance_takes_no_work() {
     let mut net = net(24);
--- a/crates/fleet/tests/listing.rs
+++ b/crates/fleet/tests/listing.rs
@@ -1,4 +1,4 @@
-//! The platform's list: it adds and removes, never revives, and never goes back.
+//! Merging the platform's list of instances in gossip mode.
 
 use fleet::{
     clock::Now,
@@ -42,7 +42,7 @@
     Listing { revision, instances: ports.iter().map(instance).collect() }
 }
 
-/// Shows lists to node 1, which knows nodes 2 to 6; compares which of them still take work.
+/// Applies lists on node 1, which knows nodes 2 to 6; compares which of them still take work.
 #[track_caller]
 fn check(listings: &[Listing], expect: &[u16]) {
     let mut node = Control::new(Settings::new(record(1)), now());
@@ -60,10 +60,9 @@
     assert_eq!(working, expect);
 }
 
-/// Breakfast counts go to fewer and fewer kitchens: a lagging copy of the list, from before some
-/// instances were added, was taken for the news that they had been removed.
+/// Guards against taking a stale list from a lagging replica for a removal of instances added later.
 #[test]
-fn an_older_list_is_not_believed() {
+fn an_older_list_is_ignored() {
     let all: Vec<u16> = (1..=PEERS).collect();
     let old = listing(4, &[1, 2, 3, 4, 5], &[]);
     check(&[listing(5, &all, &[]), old], &[2, 3, 4, 5, 6]);
@@ -77,6 +76,6 @@
 }
 
 #[test]
-fn an_unlisted_stranger_keeps_its_work() {
+fn a_node_that_was_never_listed_keeps_its_work() {
     check(&[listing(1, &[1, 2, 3, 4, 5], &[])], &[2, 3, 4, 5, 6]);
 }
--- a/crates/fleet/tests/herd_restart.rs
+++ b/crates/fleet/tests/mass_restart.rs
@@ -1,4 +1,4 @@
-//! Herd restarts: the platform's limit of reads holds, and everything is in force again.
+//! Restarts of many nodes at once: reads stay within the platform's rate limit, and all nodes recover.
 
 use standins::{
     memory::{Net, Options, Source},
@@ -15,8 +15,8 @@
     net
 }
 
-/// Restarts every node while the platform is in `source`, which ends after ten seconds; compares
-/// how long it takes from then, or from the restart, until all is in force.
+/// Restarts every node while the platform is in the state `source`, which lasts ten seconds unless it is up;
+/// checks the time from then until the newest version is in force, and the rate of reads.
 #[track_caller]
 fn check(source: Source, contacts: usize, limit: Duration) {
     let mut net = net(120, contacts);
@@ -34,11 +34,9 @@
     assert_eq!(net.broken, Vec::<String>::new());
 }
 
-/// At opening time no till is served: after a power cut every node starts in the same second, each
-/// knows nobody and reads the platform, which refuses all over its limit, and they try again
-/// together.
+/// Guards against synchronised reads and retries when every node starts in the same second.
 #[test]
-fn a_herd_restart_keeps_the_limit() {
+fn a_mass_restart_stays_within_the_read_limit() {
     check(Source::Up, 4, Duration::from_secs(3));
     check(Source::Up, 0, Duration::from_secs(3));
     check(Source::Slow(Duration::from_millis(700)), 4, Duration::from_secs(3));
@@ -47,11 +45,11 @@
     check(Source::Down, 0, Duration::from_secs(32));
 }
 
-/// Starts 570 nodes that know nobody; compares the reads with half of the limit.
+/// Starts 570 nodes without seeds; checks that reads stay within half of the limit.
 ///
-/// Without the random wait before the first read, all 1,140 come at once when the platform is slow.
+/// This depends on the jitter before the first read.
 #[track_caller]
-fn check_strangers(source: Source) {
+fn check_without_seeds(source: Source) {
     let options =
         Options { nodes: 570, data_centres: 6, services: 48, contacts: 0, ..Options::default() };
     let mut net = Net::new(options);
@@ -62,16 +60,16 @@
     assert!(net.peak <= READS_PER_SECOND / 2, "{source:?}: {} reads in a second", net.peak);
 }
 
-/// The same at the size of two years from now, with not one contact known.
+/// Guards against exceeding the limit in a large fleet where no node knows a peer.
 #[test]
-fn a_herd_of_570_strangers_keeps_the_limit() {
-    check_strangers(Source::Up);
-    check_strangers(Source::Slow(Duration::from_millis(700)));
+fn a_start_of_570_nodes_without_seeds_stays_within_the_read_limit() {
+    check_without_seeds(Source::Up);
+    check_without_seeds(Source::Slow(Duration::from_millis(700)));
 }
 
-/// One data centre restarts as a whole while the others go on.
+/// One data centre restarts as a whole while the others continue.
 #[test]
-fn a_data_centre_restarts() {
+fn a_restarted_data_centre_recovers_within_three_seconds() {
     let mut net = net(60, 4);
     net.peak = 0;
     (0..net.len()).filter(|node| node % 6 == 2).for_each(|node| net.start(node));
@@ -80,9 +78,9 @@
     assert!(net.peak <= 60, "{} reads in a second", net.peak);
 }
 
-/// A node that joins hundreds gets their records in parts, and still knows all within a moment.
+/// Guards against a member table that is truncated to one sync message.
 #[test]
-fn a_large_table_is_learned_in_parts() {
+fn a_large_member_table_is_synced_in_parts() {
     cov_mark::check!(sync_goes_on);
     let mut net = net(400, 4);
     net.start(7);
--- a/crates/fleet/tests/net/mod.rs
+++ b/crates/fleet/tests/net/mod.rs
@@ -1,6 +1,6 @@
-//! Nodes in listed mode, their datagrams and pulls, and a store, in memory on a virtual clock.
+//! Simulated cluster of nodes in list mode: network and platform store in memory, on a virtual clock.
 
-// Each test file uses its own part of this module.
+// Every test file uses only a part of this module.
 #![allow(dead_code)]
 
 mod store;
@@ -25,16 +25,16 @@
 
 use self::store::{Content, Store, Value};
 
-/// Delay of every message, in ms.
-const DELAY: u64 = 2;
+/// Network delay of every message, in ms.
+const DELAY_MS: u64 = 2;
 
-/// Bits that a link of 1 Mbit/s carries in a millisecond.
+/// Bits per millisecond on a link of 1 Mbit/s.
 const BITS_PER_MS: u64 = 1_000;
 
-/// How long a store that is silent keeps a call, in ms: the adapter's patience.
-const SILENCE: u64 = 1_500;
+/// Time after which a call to a silent store fails, in ms.
+const CALL_TIMEOUT_MS: u64 = 1_500;
 
-/// How the store treats a node.
+/// How the store answers the calls of a node.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Treatment {
     Serve,
@@ -42,18 +42,18 @@
     Silent,
 }
 
-/// Something on its way.
-enum Due {
+/// A message or call in transit.
+enum Delivery {
     Event(usize, u64, Event),
-    Ask { from: usize, life: u64, to: usize, request: Request, until: u64 },
-    Read { node: usize, life: u64, query: Query, until: u64 },
+    Ask { from: usize, incarnation: u64, to: usize, request: Request, until: u64 },
+    Read { node: usize, incarnation: u64, query: Query, until: u64 },
 }
 
 pub(crate) struct Node {
     control: Option<Control>,
-    life: u64,
+    incarnation: u64,
     pub(crate) in_force: u64,
-    /// Highest revision that the node is to hold, as it says.
+    /// Expected revision, as the node last announced it.
     pub(crate) expected: u64,
     pub(crate) view: Arc<View>,
     pub(crate) quarantine: Arc<Quarantine>,
@@ -63,41 +63,41 @@
 pub(crate) struct Net {
     pub(crate) now: u64,
     nodes: Vec<Node>,
-    zones: Vec<&'static str>,
-    /// Speeds of the nodes' links, in Mbit/s.
+    data_centres: Vec<&'static str>,
+    /// Link speed of each node, in Mbit/s.
     pub(crate) links: Vec<u32>,
-    /// When each link has carried all that is on its way; answers follow one after the other.
-    busy: Vec<u64>,
-    /// What is on its way, by the time at which it arrives and the order in which it was sent.
-    queue: BTreeMap<(u64, u64), Due>,
-    order: u64,
+    /// When each link is free again, in ms; answers are serialised on a link.
+    busy_until: Vec<u64>,
+    /// Messages in transit, by arrival time in ms and by order of sending.
+    queue: BTreeMap<(u64, u64), Delivery>,
+    next_order: u64,
     pub(crate) store: Store,
     treatment: Vec<Treatment>,
     cut: BTreeSet<(usize, usize)>,
     pub(crate) reads: u64,
-    /// Every how many questions for the configuration one is lost; 0 for none.
+    /// Loses every n-th configuration pull; 0 loses none.
     pub(crate) pull_loss: u64,
-    /// Nodes of a product version whose summaries say nothing of other nodes and carry no changes.
+    /// Nodes of an older product version, without rumours, contact ages and piggybacked changes.
     pub(crate) old_version: BTreeSet<usize>,
-    /// Every how many summaries one is lost; 0 for none.
+    /// Loses every n-th digest; 0 loses none.
     pub(crate) digest_loss: u64,
-    /// Questions for the configuration that a node sent.
+    /// Configuration pulls sent by each node.
     pub(crate) pulls_sent: Vec<u64>,
-    /// Summaries that a node sent.
+    /// Digests sent by each node.
     pub(crate) digests_sent: Vec<u64>,
-    /// Summaries that a node sent to other data centres.
+    /// Digests sent by each node to other data centres.
     pub(crate) far_digests_sent: Vec<u64>,
-    /// Bytes of summaries that arrived at a node, without those of the network's own headers.
+    /// Bytes of digests received by each node, without network headers.
     pub(crate) bytes_received: Vec<u64>,
-    /// Revisions that a node put into force after a higher one.
+    /// Revisions put into force that were not higher than before: node, previous revision, new revision.
     pub(crate) regressions: Vec<(usize, u64, u64)>,
 }
 
-/// Nodes that share the first three parts of their addresses.
-const NODES_A_BLOCK: usize = 250;
+/// Nodes per /24 address block.
+const NODES_PER_BLOCK: usize = 250;
 
 fn host(node: usize) -> [u8; 4] {
-    [10, 0, (node / NODES_A_BLOCK) as u8, (node % NODES_A_BLOCK) as u8 + 1]
+    [10, 0, (node / NODES_PER_BLOCK) as u8, (node % NODES_PER_BLOCK) as u8 + 1]
 }
 
 pub(crate) fn address(node: usize) -> SocketAddr {
@@ -109,11 +109,11 @@
 }
 
 impl Net {
-    /// Starts one node in each of the places `zones`, each beside an upstream that registers.
-    pub(crate) fn new(zones: &[&'static str]) -> Net {
+    /// Starts one node per element of `data_centres`, each with an upstream that registers.
+    pub(crate) fn new(data_centres: &[&'static str]) -> Net {
         let node = || Node {
             control: None,
-            life: 0,
+            incarnation: 0,
             in_force: 0,
             expected: 0,
             view: Arc::default(),
@@ -122,27 +122,27 @@
         };
         let mut net = Net {
             now: 1_000,
-            nodes: zones.iter().map(|_| node()).collect(),
-            zones: zones.to_vec(),
-            links: vec![1_000; zones.len()],
-            busy: vec![0; zones.len()],
+            nodes: data_centres.iter().map(|_| node()).collect(),
+            data_centres: data_centres.to_vec(),
+            links: vec![1_000; data_centres.len()],
+            busy_until: vec![0; data_centres.len()],
             queue: BTreeMap::new(),
-            order: 0,
+            next_order: 0,
             store: Store::default(),
-            treatment: vec![Treatment::Serve; zones.len()],
+            treatment: vec![Treatment::Serve; data_centres.len()],
             cut: BTreeSet::new(),
             reads: 0,
             pull_loss: 0,
             old_version: BTreeSet::new(),
             digest_loss: 0,
-            pulls_sent: vec![0; zones.len()],
-            digests_sent: vec![0; zones.len()],
-            far_digests_sent: vec![0; zones.len()],
-            bytes_received: vec![0; zones.len()],
+            pulls_sent: vec![0; data_centres.len()],
+            digests_sent: vec![0; data_centres.len()],
+            far_digests_sent: vec![0; data_centres.len()],
+            bytes_received: vec![0; data_centres.len()],
             regressions: Vec::new(),
         };
         net.publish();
-        for node in 0..zones.len() {
+        for node in 0..data_centres.len() {
             net.start(node);
             net.register(node, &format!("i-{node}"), Standing::Ready);
         }
@@ -150,19 +150,19 @@
     }
 
     pub(crate) fn start(&mut self, node: usize) {
-        self.nodes[node].life += 1;
+        self.nodes[node].incarnation += 1;
         let settings = Settings {
             instance: format!("n-{node}"),
             service: "shelfview".to_owned(),
-            data_centre: self.zones[node].to_owned(),
+            data_centre: self.data_centres[node].to_owned(),
             address: address(node),
             traffic_port: 8_000,
             upstream: upstream(node),
-            incarnation: self.nodes[node].life,
+            incarnation: self.nodes[node].incarnation,
             link_mbps: self.links[node],
             join_wait: Duration::from_millis(20),
             watch: watch::Settings::default(),
-            seed: node as u64 * 1_000 + self.nodes[node].life,
+            seed: node as u64 * 1_000 + self.nodes[node].incarnation,
             product: String::new(),
         };
         self.nodes[node].control = Some(Control::new(settings, self.moment()));
@@ -173,10 +173,10 @@
         self.nodes[node].quarantine = Arc::default();
     }
 
-    /// Ends a process without a word.
+    /// Crashes a process without any announcement.
     pub(crate) fn kill(&mut self, node: usize) {
         self.nodes[node].control = None;
-        self.nodes[node].life += 1;
+        self.nodes[node].incarnation += 1;
     }
 
     pub(crate) fn inject(&mut self, node: usize, event: Event) {
@@ -191,7 +191,7 @@
         self.treatment.iter_mut().for_each(|t| *t = treatment);
     }
 
-    /// Cuts two nodes off from each other, or connects them again.
+    /// Partitions two nodes from each other, or reconnects them.
     pub(crate) fn set_cut(&mut self, a: usize, b: usize, cut: bool) {
         for pair in [(a, b), (b, a)] {
             if cut {
@@ -202,12 +202,12 @@
         }
     }
 
-    /// Publishes another configuration; returns its revision.
+    /// Publishes a new configuration; returns its revision.
     pub(crate) fn publish(&mut self) -> u64 {
         self.store.publish(Content::Good)
     }
 
-    /// Publishes a configuration that no node accepts; returns its revision.
+    /// Publishes an invalid configuration; returns its revision.
     pub(crate) fn publish_bad(&mut self) -> u64 {
         self.store.publish(Content::Bad)
     }
@@ -222,7 +222,7 @@
             id: id.to_owned(),
             service: "shelfview".to_owned(),
             address: upstream(node),
-            data_centre: self.zones[node].to_owned(),
+            data_centre: self.data_centres[node].to_owned(),
             slots: 9,
             standing,
             cold_ms: 0,
@@ -231,8 +231,8 @@
         }
     }
 
-    /// Writes an entry of a life that began at `started_ms`.
-    pub(crate) fn register_life(
+    /// Writes an entry of a process that started at `started_ms`.
+    pub(crate) fn register_started(
         &mut self,
         node: usize,
         id: &str,
@@ -243,7 +243,7 @@
         self.store.write(id, Value::Entry(entry))
     }
 
-    /// Writes a value that names no upstream.
+    /// Writes a value that does not parse as an entry.
     pub(crate) fn write_malformed(&mut self, id: &str) -> u64 {
         self.store.write(id, Value::Malformed)
     }
@@ -252,14 +252,14 @@
         self.store.write(id, Value::Deleted)
     }
 
-    /// Has the data centre `zone` evacuated.
-    pub(crate) fn evacuate(&mut self, zone: &str) -> u64 {
-        self.store.write_order(zone, Value::Evacuation)
+    /// Orders the evacuation of `data_centre`.
+    pub(crate) fn evacuate(&mut self, data_centre: &str) -> u64 {
+        self.store.write_order(data_centre, Value::Evacuation)
     }
 
-    /// Takes the data centre `zone` back.
-    pub(crate) fn take_back(&mut self, zone: &str) -> u64 {
-        self.store.write_order(zone, Value::Deleted)
+    /// Withdraws the evacuation of `data_centre`.
+    pub(crate) fn take_back(&mut self, data_centre: &str) -> u64 {
+        self.store.write_order(data_centre, Value::Deleted)
     }
 
     /// Writes an entry of an upstream that stays cold for `cold_ms`.
@@ -268,7 +268,7 @@
         self.store.write(id, Value::Entry(entry))
     }
 
-    /// Drops the store's history, as a compaction does.
+    /// Compacts the store's history.
     pub(crate) fn compact(&mut self) {
         self.store.compact();
     }
@@ -277,20 +277,20 @@
         &self.nodes[node]
     }
 
-    /// Returns the ids that a node sends calls to.
+    /// Returns the ids of the upstreams to which a node routes calls.
     pub(crate) fn targets(&self, node: usize) -> Vec<String> {
         let upstreams = self.nodes[node].view.upstreams("shelfview").iter();
         let able = upstreams.filter(|u| u.state.takes_work());
         able.map(|u| u.instance.clone()).collect()
     }
 
-    /// Tells whether a node sends calls to the upstream `id`.
+    /// Returns whether a node routes calls to the upstream `id`.
     pub(crate) fn is_target(&self, node: usize, id: &str) -> bool {
         let upstreams = self.nodes[node].view.upstreams("shelfview");
         upstreams.iter().any(|u| u.instance == id && u.state.takes_work())
     }
 
-    /// Returns to how many upstreams a node sends calls.
+    /// Returns the number of upstreams to which a node routes calls.
     pub(crate) fn target_count(&self, node: usize) -> usize {
         let upstreams = self.nodes[node].view.upstreams("shelfview");
         upstreams.iter().filter(|u| u.state.takes_work()).count()
@@ -303,8 +303,8 @@
             while let Some(first) = self.queue.first_entry()
                 && first.key().0 <= self.now
             {
-                let due = first.remove();
-                self.deliver(due);
+                let delivery = first.remove();
+                self.deliver(delivery);
             }
             if self.now.is_multiple_of(50) {
                 for node in 0..self.nodes.len() {
@@ -314,7 +314,7 @@
         }
     }
 
-    /// Runs until `holds`, and returns how long that took; fails after `limit` ms.
+    /// Runs until `holds`; returns the elapsed time in ms, and panics after `limit` ms.
     #[track_caller]
     pub(crate) fn until(&mut self, limit: u64, holds: impl Fn(&Net) -> bool) -> u64 {
         let begin = self.now;
@@ -333,59 +333,64 @@
         Now { time: Time::from_millis(self.now), wall_ms: self.now }
     }
 
-    fn put(&mut self, delay: u64, due: Due) {
-        self.order += 1;
-        self.queue.insert((self.now + delay, self.order), due);
+    fn schedule(&mut self, delay: u64, delivery: Delivery) {
+        self.next_order += 1;
+        self.queue.insert((self.now + delay, self.next_order), delivery);
     }
 
-    fn deliver(&mut self, due: Due) {
-        match due {
-            Due::Event(node, life, event) => {
-                if self.nodes[node].life == life {
+    fn deliver(&mut self, delivery: Delivery) {
+        match delivery {
+            Delivery::Event(node, incarnation, event) => {
+                if self.nodes[node].incarnation == incarnation {
                     self.apply(node, event);
                 }
             }
-            Due::Ask { from, life, to, request, until } => {
+            Delivery::Ask { from, incarnation, to, request, until } => {
                 let asked = asked(&request);
-                let Some(response) = self.ask(to, request) else {
+                let Some(response) = self.handle_request(to, request) else {
                     let lost = Event::Lost(address(to), Lost { asked, malformed: None });
-                    return self.put(DELAY, Due::Event(from, life, lost));
+                    return self.schedule(DELAY_MS, Delivery::Event(from, incarnation, lost));
                 };
-                let arrival = self.carry(from, to, until, &response);
+                let arrival = self.transmit(from, to, until, &response);
                 let event = if arrival <= until {
                     Event::Answered(address(to), response)
                 } else {
                     Event::Lost(address(to), Lost { asked, malformed: None })
                 };
-                self.put(arrival.min(until) - self.now, Due::Event(from, life, event));
+                self.schedule(
+                    arrival.min(until) - self.now,
+                    Delivery::Event(from, incarnation, event),
+                );
+            }
+            Delivery::Read { node, incarnation, query, until } => {
+                self.poll_store(node, incarnation, query, until)
             }
-            Due::Read { node, life, query, until } => self.look(node, life, query, until),
         }
     }
 
-    /// Puts an answer on both links, one after the other answers on each; returns when it arrives.
+    /// Queues an answer on both links; returns when it arrives, in ms.
     ///
-    /// Whoever waits no longer than `until` closes the connection then, which frees the links.
-    fn carry(&mut self, from: usize, to: usize, until: u64, response: &Response) -> u64 {
+    /// The receiver closes the connection at `until`, which frees the links.
+    fn transmit(&mut self, from: usize, to: usize, until: u64, response: &Response) -> u64 {
         let bits = bits(response);
-        let begin = self.now.max(self.busy[from]).max(self.busy[to]);
+        let begin = self.now.max(self.busy_until[from]).max(self.busy_until[to]);
         for node in [from, to] {
-            let free = self.now.max(self.busy[node]);
+            let free = self.now.max(self.busy_until[node]);
             let end = free + bits / (BITS_PER_MS * u64::from(self.links[node]));
-            self.busy[node] = end.min(until.max(self.busy[node]));
+            self.busy_until[node] = end.min(until.max(self.busy_until[node]));
         }
         let slower = self.links[from].min(self.links[to]);
-        begin + DELAY + bits / (BITS_PER_MS * u64::from(slower))
+        begin + DELAY_MS + bits / (BITS_PER_MS * u64::from(slower))
     }
 
-    fn ask(&mut self, to: usize, request: Request) -> Option<Response> {
+    fn handle_request(&mut self, to: usize, request: Request) -> Option<Response> {
         let now = self.moment();
         let effects = self.nodes[to].control.as_mut()?.apply(Event::Asked(request), now);
         let mut reply = None;
         for effect in effects {
             match effect {
                 Effect::Reply(response) => reply = Some(response),
-                other => self.carry_out(to, other),
+                other => self.execute(to, other),
             }
         }
         reply
@@ -395,12 +400,12 @@
         let now = self.moment();
         let Some(control) = self.nodes[node].control.as_mut() else { return };
         for effect in control.apply(event, now) {
-            self.carry_out(node, effect);
+            self.execute(node, effect);
         }
     }
 
-    fn carry_out(&mut self, node: usize, effect: Effect) {
-        let life = self.nodes[node].life;
+    fn execute(&mut self, node: usize, effect: Effect) {
+        let incarnation = self.nodes[node].incarnation;
         match effect {
             Effect::Tell(targets, digest) => {
                 let bytes = serde_json::to_vec(&digest).expect("messages have a JSON form").len();
@@ -408,22 +413,26 @@
                     targets.into_iter().filter_map(|t| self.index(t)).collect();
                 for to in targets {
                     self.digests_sent[node] += 1;
-                    self.far_digests_sent[node] += u64::from(self.zones[node] != self.zones[to]);
+                    self.far_digests_sent[node] +=
+                        u64::from(self.data_centres[node] != self.data_centres[to]);
                     let is_lost = self.digest_loss > 0
                         && self.digests_sent[node].is_multiple_of(self.digest_loss);
                     if is_lost || self.cut.contains(&(node, to)) {
                         continue;
                     }
                     self.bytes_received[to] += bytes as u64;
-                    let life = self.nodes[to].life;
-                    let is_plain =
+                    let incarnation = self.nodes[to].incarnation;
+                    let is_old_version =
                         self.old_version.contains(&node) || self.old_version.contains(&to);
-                    let digest = if is_plain { plain(&digest) } else { digest.clone() };
-                    self.put(DELAY, Due::Event(to, life, Event::Heard(digest)));
+                    let digest =
+                        if is_old_version { without_extensions(&digest) } else { digest.clone() };
+                    self.schedule(DELAY_MS, Delivery::Event(to, incarnation, Event::Heard(digest)));
                 }
             }
-            Effect::Send(peer, request, timeout) => self.send(node, life, peer, request, timeout),
-            Effect::Read(query) => self.read(node, life, query),
+            Effect::Send(peer, request, timeout) => {
+                self.send(node, incarnation, peer, request, timeout)
+            }
+            Effect::Read(query) => self.read(node, incarnation, query),
             Effect::InForce(snapshot) => {
                 let revision = snapshot.version.revision;
                 let before = self.nodes[node].in_force;
@@ -443,14 +452,14 @@
     fn index(&self, peer: SocketAddr) -> Option<usize> {
         let IpAddr::V4(ip) = peer.ip() else { return None };
         let [_, _, block, last] = ip.octets();
-        let node = usize::from(block) * NODES_A_BLOCK + usize::from(last) - 1;
+        let node = usize::from(block) * NODES_PER_BLOCK + usize::from(last) - 1;
         (node < self.nodes.len()).then_some(node)
     }
 
     fn send(
         &mut self,
         node: usize,
-        life: u64,
+        incarnation: u64,
         peer: SocketAddr,
         request: Request,
         timeout: Duration,
@@ -464,55 +473,63 @@
             .filter(|_| !(is_lost && asked == Asked::Pull))
             .filter(|&to| !self.cut.contains(&(node, to)) && self.nodes[to].control.is_some());
         match reachable {
-            Some(to) => self.put(DELAY, Due::Ask { from: node, life, to, request, until }),
+            Some(to) => self
+                .schedule(DELAY_MS, Delivery::Ask { from: node, incarnation, to, request, until }),
             None => {
                 let lost = Event::Lost(peer, Lost { asked, malformed: None });
-                self.put(timeout.as_millis() as u64, Due::Event(node, life, lost));
+                self.schedule(timeout.as_millis() as u64, Delivery::Event(node, incarnation, lost));
             }
         }
     }
 
-    fn read(&mut self, node: usize, life: u64, query: Query) {
+    fn read(&mut self, node: usize, incarnation: u64, query: Query) {
         self.reads += 1;
         let Query::News { wait, .. } = query else { return };
         let until = self.now + wait.as_millis() as u64;
         match self.treatment[node] {
-            Treatment::Serve => self.put(4, Due::Read { node, life, query, until }),
-            Treatment::Refuse => self.fail(node, life, 4, Failure::Refused),
+            Treatment::Serve => {
+                self.schedule(4, Delivery::Read { node, incarnation, query, until })
+            }
+            Treatment::Refuse => self.fail(node, incarnation, 4, Failure::Refused),
             Treatment::Silent => {
-                self.fail(node, life, SILENCE, Failure::Unreachable("silent".to_owned()));
+                self.fail(
+                    node,
+                    incarnation,
+                    CALL_TIMEOUT_MS,
+                    Failure::Unreachable("silent".to_owned()),
+                );
             }
         }
     }
 
-    fn fail(&mut self, node: usize, life: u64, delay: u64, failure: Failure) {
+    fn fail(&mut self, node: usize, incarnation: u64, delay: u64, failure: Failure) {
         let answer = Answer::Failed(Topic::News, failure);
-        self.put(delay, Due::Event(node, life, Event::Source(answer)));
+        self.schedule(delay, Delivery::Event(node, incarnation, Event::Source(answer)));
     }
 
-    fn look(&mut self, node: usize, life: u64, query: Query, until: u64) {
+    fn poll_store(&mut self, node: usize, incarnation: u64, query: Query, until: u64) {
         if self.treatment[node] != Treatment::Serve {
             let failure = Failure::Unreachable("the store went away".to_owned());
-            return self.fail(node, life, SILENCE, failure);
+            return self.fail(node, incarnation, CALL_TIMEOUT_MS, failure);
         }
         let Query::News { after, .. } = query else { return };
         let forgotten = after.is_some_and(|after| self.store.is_compacted(after));
         if forgotten {
-            return self.fail(node, life, 1, Failure::Forgotten);
+            return self.fail(node, incarnation, 1, Failure::Forgotten);
         }
         let bulletin = self.store.bulletin(after);
         let has_news = bulletin.config.is_some() || !bulletin.list.is_empty();
         if has_news || after.is_none() || self.now >= until {
             let event = Event::Source(Answer::News(bulletin));
-            self.put(4, Due::Event(node, life, event));
+            self.schedule(4, Delivery::Event(node, incarnation, event));
         } else {
-            self.put(10, Due::Read { node, life, query, until });
+            self.schedule(10, Delivery::Read { node, incarnation, query, until });
         }
     }
 }
 
-/// Returns what a node of a product version without hearsay sends, or understands, of a summary.
-fn plain(digest: &Digest) -> Digest {
+/// Returns the part of a digest that nodes of the older product version send and understand.
+fn without_extensions(digest: &Digest) -> Digest {
     let Digest { from, config, list, contact_ms, link_mbps, failing, leaving, .. } = *digest;
     Digest {
         from,
@@ -537,7 +554,7 @@
     }
 }
 
-/// Returns the size of an answer as plain JSON.
+/// Returns the size of an answer as uncompressed JSON, in bits.
 fn bits(response: &Response) -> u64 {
     let bytes = match response {
         Response::Pull(bundle) => serde_json::to_vec(bundle),
--- a/crates/fleet/tests/net/store.rs
+++ b/crates/fleet/tests/net/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store: a configuration and entries of upstreams under one revision.
+//! Simulated platform store: configuration, entries of upstreams and evacuations under one revision.
 
 use fleet::{
     directory::{Entry, Reason, Removal, Update},
@@ -12,14 +12,14 @@
 const SERVERS: &str = "servers/";
 const EVACUATIONS: &str = "evacuations/";
 
-/// Whether nodes accept a configuration.
+/// Whether a configuration is valid.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Content {
     Good,
     Bad,
 }
 
-/// What one key holds.
+/// Value of a key.
 #[derive(Clone)]
 pub(crate) enum Value {
     Entry(Entry),
@@ -33,17 +33,23 @@
 pub(crate) struct Store {
     revision: u64,
     values: BTreeMap<String, (u64, Value)>,
-    /// Writes in order, as far as the store remembers them.
+    /// Writes since the last compaction, in order.
     history: Vec<(u64, String)>,
-    /// Routes that the configuration holds.
+    /// Number of routes in the configuration.
     pub(crate) routes: usize,
-    /// How many of them each version changes.
-    pub(crate) touched: usize,
+    /// Number of routes that each version changes.
+    pub(crate) changed_routes: usize,
 }
 
 impl Default for Store {
     fn default() -> Self {
-        Store { revision: 1, values: BTreeMap::new(), history: Vec::new(), routes: 0, touched: 0 }
+        Store {
+            revision: 1,
+            values: BTreeMap::new(),
+            history: Vec::new(),
+            routes: 0,
+            changed_routes: 0,
+        }
     }
 }
 
@@ -53,12 +59,12 @@
         self.revision + 1
     }
 
-    /// Publishes another configuration; returns its revision.
+    /// Publishes a new configuration; returns its revision.
     pub(crate) fn publish(&mut self, content: Content) -> u64 {
         self.put(CONFIG.to_owned(), Value::Config(content))
     }
 
-    /// Writes what the upstream `id` holds; returns the revision.
+    /// Writes the value of the upstream `id`; returns the revision.
     pub(crate) fn write(&mut self, id: &str, value: Value) -> u64 {
         self.put(format!("{SERVERS}{id}"), value)
     }
@@ -75,18 +81,18 @@
         self.revision
     }
 
-    /// Drops the history.
+    /// Removes all history, as a compaction does.
     pub(crate) fn compact(&mut self) {
         self.history.clear();
     }
 
-    /// Tells whether something that was written since `after` is no longer remembered.
+    /// Returns whether writes after revision `after` were compacted.
     pub(crate) fn is_compacted(&self, after: u64) -> bool {
         let known = self.history.first().map_or(self.revision, |(first, _)| first - 1);
         after < known
     }
 
-    /// Returns what was written since `after`, or everything.
+    /// Returns the changes after revision `after`, or a full copy.
     pub(crate) fn bulletin(&self, after: Option<u64>) -> Bulletin {
         let list = Update { revision: self.revision, base: after, ..Update::default() };
         let mut news = Bulletin { revision: self.revision, list, ..Bulletin::default() };
@@ -119,7 +125,7 @@
     }
 
     fn config(&self, revision: u64, content: Content) -> Delta {
-        let mut delta = documents(revision, revision, self.routes, self.touched);
+        let mut delta = documents(revision, revision, self.routes, self.changed_routes);
         if content == Content::Bad {
             delta.documents[0].text = "{\"deadline_ms\": -1}".into();
         }
@@ -127,9 +133,9 @@
     }
 }
 
-/// Returns the documents of a configuration of `routes` routes; `number` tells the profile and the first
-/// `touched` routes from those of other versions.
-fn documents(revision: u64, number: u64, routes: usize, touched: usize) -> Delta {
+/// Returns the documents of a configuration with `routes` routes; `number` makes the profile and the first
+/// `changed_routes` routes unique to this version.
+fn documents(revision: u64, number: u64, routes: usize, changed_routes: usize) -> Delta {
     let document = |key: &str, text: String| Document {
         key: key.to_owned(),
         modified: revision,
@@ -140,7 +146,7 @@
         document("services/shelfview", "{\"profile\": \"p\"}".to_owned()),
     ];
     documents.extend((0..routes).map(|route| {
-        let time = if route < touched { 3_000 + number } else { 3_000 };
+        let time = if route < changed_routes { 3_000 + number } else { 3_000 };
         let text = format!(
             "{{\"host\": \"shop.example\", \"prefix\": \"/p{route}/\", \"kind\": \"idempotent\", \
              \"attempts\": 2, \"timeout_ms\": {time}, \"objective_ms\": 1000, \"priority\": 2, \
--- a/crates/fleet/tests/operators.rs
+++ b/crates/fleet/tests/operators.rs
@@ -1,4 +1,4 @@
-//! Operators who race, hurry, publish much, or publish what is wrong.
+//! Publications: concurrent, frequent, large, removed and inconsistent documents.
 
 use standins::memory::{Net, Options};
 use std::time::Duration;
@@ -10,7 +10,7 @@
     net
 }
 
-/// Runs until the newest acceptable revision is in force; compares it and the time.
+/// Runs until the newest valid revision is in force; compares the revision and the time.
 #[track_caller]
 fn check(net: &mut Net, revision: u64, limit: Duration) {
     assert_eq!(net.newest_good(), revision);
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn two_operators_revise_at_the_same_moment() {
+fn the_later_of_two_concurrent_publications_is_in_force() {
     let mut net = net();
     net.publish("profiles/base", Some(r#"{"attempts": 1}"#));
     net.publish("profiles/base", Some(r#"{"attempts": 2}"#));
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_revision_every_second_for_a_minute() {
+fn one_revision_per_second_is_in_force_within_a_second() {
     let mut net = net();
     for second in 0..60 {
         let text = format!(r#"{{"deadline_ms": {}}}"#, 100 + second);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_document_of_one_megabyte_and_48_services() {
+fn a_document_of_one_megabyte_and_48_services_is_in_force_within_two_seconds() {
     let mut net = net();
     let routes: Vec<String> =
         (0..60).map(|i| format!(r#"{{"prefix": "/{}{i}"}}"#, "p".repeat(17_000))).collect();
@@ -51,9 +51,9 @@
     check(&mut net, 50, Duration::from_secs(2));
 }
 
-/// A service is published before the profile that it names. No node may route by half of the two.
+/// Guards against a configuration in force whose service names a missing profile.
 #[test]
-fn documents_that_cross_wait_for_each_other() {
+fn a_service_published_before_its_profile_waits_for_it() {
     cov_mark::check!(dangling_profile);
     let mut net = net();
     net.publish("services/till", Some(r#"{"profile": "late"}"#));
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_removed_document_is_gone_everywhere() {
+fn a_removed_document_is_removed_on_every_node() {
     let mut net = net();
     net.publish("profiles/extra", Some("{}"));
     net.run(Duration::from_secs(1));
@@ -72,9 +72,9 @@
     check(&mut net, 3, Duration::from_secs(1));
 }
 
-/// A node that missed a removal must not keep the document because the delta does not name it.
+/// Guards against a document that stays on a node that was partitioned during its removal.
 #[test]
-fn a_removal_is_not_missed_by_a_node_that_was_away() {
+fn a_reconnected_node_learns_of_a_removal() {
     let mut net = net();
     net.publish("profiles/extra", Some("{}"));
     net.run(Duration::from_secs(1));
@@ -90,10 +90,10 @@
     check(&mut net, 4, Duration::from_secs(45));
 }
 
-/// A till keeps calling a service that no longer exists: more documents were removed than the
-/// peers remember, and the delta it pulled did not say so. Its digest must, and the whole follows.
+/// Guards against keeping removed documents when a delta lacks removals that the peer has forgotten: the
+/// content hash must differ and cause a full transfer.
 #[test]
-fn a_delta_that_forgets_removals_is_not_taken() {
+fn a_delta_that_lacks_removals_is_rejected() {
     cov_mark::check!(delta_mismatch);
     let mut net = net();
     let keys: Vec<String> = (0..300).map(|i| format!("profiles/extra-{i}")).collect();
--- a/crates/fleet/tests/partitions.rs
+++ b/crates/fleet/tests/partitions.rs
@@ -1,4 +1,4 @@
-//! Long cuts: from the platform, of a data centre, between two halves.
+//! Long partitions: from the platform, of a data centre, and between two halves of one.
 
 use standins::{
     memory::{Net, Options, Source, address},
@@ -6,7 +6,7 @@
 };
 use std::time::Duration;
 
-const NIGHT: Duration = Duration::from_secs(8 * 3_600);
+const OUTAGE: Duration = Duration::from_secs(8 * 3_600);
 const HOUR: Duration = Duration::from_secs(3_600);
 
 fn net(nodes: usize) -> Net {
@@ -16,7 +16,7 @@
     net
 }
 
-/// Compares the revision in force at each node.
+/// Compares the revision in force on each node.
 #[track_caller]
 fn check(net: &Net, expect: &[u64]) {
     let held: Vec<u64> = (0..net.len()).map(|node| net.version(node).revision).collect();
@@ -24,13 +24,12 @@
     assert_eq!(net.broken, Vec::<String>::new());
 }
 
-/// After a night in which the platform was out of reach, the morning's revision does not arrive:
-/// the nodes had backed off for ever, or believed that there was nothing to read.
+/// Guards against nodes that stop polling, or back off without a bound, in a long platform outage.
 #[test]
-fn a_night_without_the_platform() {
+fn nodes_read_a_revision_published_after_a_long_platform_outage() {
     let mut net = net(4);
     net.set_source(Source::Down);
-    net.run(NIGHT);
+    net.run(OUTAGE);
     check(&net, &[1, 1, 1, 1]);
     net.set_source(Source::Up);
     net.publish("profiles/base", Some(r#"{"attempts": 2}"#));
@@ -38,9 +37,9 @@
     check(&net, &[2, 2, 2, 2]);
 }
 
-/// A node that starts while the platform is down gets its configuration from the others.
+/// Guards against a node that cannot start without the platform.
 #[test]
-fn a_node_joins_without_the_platform() {
+fn a_node_that_starts_in_a_platform_outage_learns_from_peers() {
     let mut net = net(4);
     net.set_source(Source::Down);
     net.run(HOUR);
@@ -49,10 +48,10 @@
     check(&net, &[1, 1, 1, 1]);
 }
 
-/// Half of a data centre cannot speak to the other half for an hour, and only one half reaches the
-/// platform. Afterwards both must find each other again, although each has long given the other up.
+/// Guards against halves that no longer probe each other after a long partition. Only one half reaches the
+/// platform.
 #[test]
-fn two_halves_meet_again() {
+fn two_partitions_merge_after_an_hour() {
     let mut net = net(6);
     for node in 0..3 {
         net.separate(node, 1);
@@ -72,7 +71,7 @@
     }
 }
 
-/// A reader that is cut off from the platform must not keep its data centre from learning.
+/// Guards against a data centre that gets no updates because its readers lost the platform.
 #[test]
 fn readers_cut_off_from_the_platform_are_replaced() {
     let mut net = net(6);
@@ -89,10 +88,9 @@
     net.status(node).is_some_and(|status| status.reader_rank < fleet::source::READERS)
 }
 
-/// A platform that lags behind by a revision serves it to a node that starts: its peers know
-/// better, and what they hold must win.
+/// Guards against a starting node that keeps the older revision of a lagging platform replica.
 #[test]
-fn a_stale_platform_does_not_decide() {
+fn a_stale_platform_answer_does_not_override_a_newer_revision() {
     let mut net = net(4);
     net.publish("profiles/base", Some(r#"{"attempts": 2}"#));
     net.run(Duration::from_secs(1));
