--- a/crates/fleet/src/listed/peers.rs
+++ b/crates/fleet/src/listed/peers.rs
@@ -427,8 +427,8 @@
 
     /// Returns the highest configuration revision in a digest no older than [`DIGEST_TTL`]; 0 if none.
     pub(super) fn highest_config(&self, now: Time) -> u64 {
-        let lately = self.peers.values().filter(|peer| now.since(peer.heard) < DIGEST_TTL);
-        lately.filter_map(|peer| Some(peer.digest.as_ref()?.config)).max().unwrap_or(0)
+        let recent = self.peers.values().filter(|peer| now.since(peer.heard) < DIGEST_TTL);
+        recent.filter_map(|peer| Some(peer.digest.as_ref()?.config)).max().unwrap_or(0)
     }
 
     /// Returns whether the revision of `peer` by `revision_of` exceeds `held`.
--- a/crates/fleet/src/listed/rounds.rs
+++ b/crates/fleet/src/listed/rounds.rs
@@ -99,8 +99,8 @@
 }
 
 fn full_mesh_round(nodes: usize, per_second: usize) -> Duration {
-    let whole = Duration::from_secs(1) * nodes as u32 / per_second as u32;
-    whole.max(SLICE)
+    let round = Duration::from_secs(1) * nodes as u32 / per_second as u32;
+    round.max(SLICE)
 }
 
 /// Takes `count` nodes off the end of `order`, which is refilled and shuffled if it holds fewer.
--- a/crates/fleet/tests/listed.rs
+++ b/crates/fleet/tests/listed.rs
@@ -92,11 +92,11 @@
     net.until(IN_FORCE_WITHIN_MS, |net| (0..7).all(|n| !is_target(net, n)));
     net.register_started(3, "i-3", Standing::Ready, 9_000);
     net.until(IN_FORCE_WITHIN_MS, |net| (0..7).all(|n| is_target(net, n)));
-    let lives = (0..7).map(|n| {
+    let starts = (0..7).map(|n| {
         let upstreams = net.node(n).view.upstreams("shelfview");
         upstreams.iter().find(|u| u.instance == "i-3").and_then(|u| u.started_ms)
     });
-    assert!(lives.into_iter().all(|started| started == Some(9_000)));
+    assert!(starts.into_iter().all(|started| started == Some(9_000)));
 }
 
 /// Guards against answering 503 for a whole platform outage although peers hold the state.
