--- a/crates/fleet/src/listed.rs
+++ b/crates/fleet/src/listed.rs
@@ -1,14 +1,8 @@
-//! The state machine of a node whose platform lists the upstreams.
+//! State machine of a node in list mode, where the platform's list names every upstream.
 //!
-//! [`crate::control`] finds the other nodes by their own word: it suits a platform that knows no
-//! more than addresses. Where the platform lists every upstream with its service, address and
-//! standing, that list decides who gets calls, and nodes need to tell each other only how far they
-//! hold configuration and list. They do so with small datagrams, [`Digest`]s, to others in turn, as many a
-//! second however many nodes there are. Small changes travel with them; what a node lacks besides it pulls
-//! from one that is ahead. Silence of a node that spoke before, or of a whole data centre, shows that it is
-//! out of reach.
-//!
-//! Invariant *one way in*: [`Control::apply`] is the only way to change the state.
+//! Nodes gossip [`Digest`]s as datagrams at a bounded rate: the revisions they hold, with small changes
+//! piggybacked. A node that is behind pulls from one that is ahead, and missing digests mark nodes and data
+//! centres unreachable. [`Control::apply`] is the only entry point that changes the state.
 
 mod changes;
 mod partition;
@@ -41,77 +35,70 @@
     view::View,
 };
 
-/// How long removals are in doubt after the platform's return.
+/// Grace period of removals after a platform outage.
 ///
-/// Entries that lapsed while it was away are back within two seconds if their upstreams live.
-const DOUBT: Duration = Duration::from_millis(2_200);
+/// Live upstreams register again within two seconds once their entries expired during the outage.
+const REMOVAL_GRACE: Duration = Duration::from_millis(2_200);
 
-/// Nodes of each other data centre that are told at once of news from the platform.
-const FAR_AUDIENCE: usize = 2;
+/// Nodes of each other data centre that get changes from the platform at once.
+const FAR_FANOUT: usize = 2;
 
-/// Nodes that are told at once of news from another node.
-const PASSED_ON: usize = 3;
+/// Nodes to which changes received from another node are forwarded at once.
+const FORWARD_FANOUT: usize = 3;
 
-/// Most changes of the list that travel with a summary. With five entries of some 170 bytes it is still one
-/// packet.
-const NEWS_CHANGES: usize = 5;
+/// Maximum number of list changes piggybacked on a digest; keeps it within one packet.
+const MAX_PIGGYBACK_CHANGES: usize = 5;
 
-/// Most bytes of documents that travel with a summary, for the same reason.
-const NEWS_BYTES: usize = 700;
+/// Maximum size of documents piggybacked on a digest, in bytes; keeps it within one packet.
+const MAX_PIGGYBACK_BYTES: usize = 700;
 
-/// How long a node without configuration waits for the platform before it asks another node for
-/// the whole of it. Twice the time that the largest answers take on a slow link would be more; a
-/// platform that fails says so sooner, or is down.
-const PLATFORM_FIRST: Duration = Duration::from_millis(1_000);
+/// How long a node without configuration waits for the platform before it pulls a full copy from a peer.
+const PLATFORM_WAIT: Duration = Duration::from_millis(1_000);
 
-/// Speed of a link, in Mbit/s, below which a starting node listens for others before it calls the
-/// platform.
+/// Link speed, in Mbit/s, below which a starting node waits for peers before it calls the platform.
 ///
-/// The platform's answer holds half a megabyte for 2,000 routes, 0.8 s at 5 Mbit/s; other nodes send
-/// a fraction of that, compressed.
+/// Peers send the configuration compressed; the platform does not.
 const SLOW_LINK_MBPS: u32 = 25;
 
-/// How long such a node listens. One that goes on working speaks to it within two seconds over their
-/// number; after the end of all processes the first ones on fast links are ready after half a
-/// second.
-const LISTEN: Duration = Duration::from_millis(800);
+/// How long a starting node on a slow link waits for digests of peers before it calls the platform.
+const LISTEN_WAIT: Duration = Duration::from_millis(800);
 
-/// Random time added to [`LISTEN`], so that nodes that heard nobody do not all call at once.
-const LISTEN_SPREAD: Duration = Duration::from_millis(200);
+/// Maximum jitter added to [`LISTEN_WAIT`], so that nodes without peers do not all call at once.
+const LISTEN_JITTER: Duration = Duration::from_millis(200);
 
-/// Time between two looks at who is silent.
-const UPKEEP: Duration = Duration::from_millis(100);
+/// Interval between liveness checks and removals of expired entries.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Settings of a [`Control`].
+/// Settings of a [`Control`] state machine.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The platform's name of the instance.
     pub instance: String,
-    /// Service of its upstream.
+    /// Service of this node's upstream.
     pub service: String,
-    /// Its data centre.
+    /// Data centre of this node.
     pub data_centre: String,
     /// Address of this node for messages between nodes; all nodes use the same port.
     pub address: SocketAddr,
-    /// Port at which all nodes take calls of other nodes.
+    /// Port on which every node accepts requests forwarded by other nodes.
     pub traffic_port: u16,
-    /// Address of the upstream beside this node.
+    /// Address of this node's upstream.
     pub upstream: SocketAddr,
-    /// Life of this process.
+    /// Incarnation of this process; increases with each restart.
     pub incarnation: u64,
-    /// Speed of this node's link, in Mbit/s; 0 where it is not known.
+    /// Speed of this node's link, in Mbit/s; 0 if unknown.
     pub link_mbps: u32,
-    /// How long a starting node listens for others before it turns to the platform.
+    /// How long a starting node waits for peers before its first call to the platform.
     pub join_wait: Duration,
     /// When the platform is called.
     pub watch: watch::Settings,
-    /// Seed of all random choices.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Product version told to operators.
+    /// Product version reported in the status.
     pub product: String,
 }
 
-/// All control state of a node in listed mode.
+/// Control state of a node in list mode.
 pub struct Control {
     settings: Settings,
     clock: Clock,
@@ -124,18 +111,18 @@
     peers: Peers,
     pulls: Pulls,
     quarantine: Register,
-    /// Until when upstreams are cold, by their identities.
+    /// When each cold upstream counts as warm, by its identity.
     cold_until: BTreeMap<String, Time>,
-    /// When orders to evacuate a data centre were withdrawn.
-    taken_back: BTreeMap<String, Time>,
-    /// Revision up to which the platform's own answers are held.
-    read_to: Option<u64>,
+    /// When the evacuation of each data centre was withdrawn.
+    readmitted_at: BTreeMap<String, Time>,
+    /// Revision of the latest platform answer that this node read itself.
+    read_revision: Option<u64>,
     started: Time,
     leaving: bool,
     ready: bool,
-    upkeep_due: Time,
+    maintenance_due: Time,
     view_stale: bool,
-    shown: Arc<View>,
+    view: Arc<View>,
     announced: Announced,
     effects: Vec<Effect>,
 }
@@ -144,7 +131,8 @@
     /// Creates the state of a starting node.
     pub fn new(settings: Settings, now: Now) -> Self {
         let mut random = SmallRng::seed_from_u64(settings.seed);
-        let first_call = now.time + settings.join_wait + listening(settings.link_mbps, &mut random);
+        let first_call =
+            now.time + settings.join_wait + listen_wait(settings.link_mbps, &mut random);
         let mut control = Control {
             clock: Clock::default(),
             ring: Ring::default(),
@@ -157,169 +145,168 @@
             pulls: Pulls::default(),
             quarantine: Register::default(),
             cold_until: BTreeMap::new(),
-            taken_back: BTreeMap::new(),
-            read_to: None,
+            readmitted_at: BTreeMap::new(),
+            read_revision: None,
             started: now.time,
             leaving: false,
             ready: false,
-            upkeep_due: now.time,
+            maintenance_due: now.time,
             view_stale: false,
-            shown: Arc::default(),
+            view: Arc::default(),
             announced: Announced::default(),
             effects: Vec::new(),
             settings,
         };
         let incarnation = control.settings.incarnation;
-        control.note(Kind::Started { incarnation }, now);
+        control.record(Kind::Started { incarnation }, now);
         control
     }
 
-    /// Takes one event into account and returns what is to be done, in order.
+    /// Applies one event and returns the resulting effects in order.
     pub fn apply(&mut self, event: Event, now: Now) -> Vec<Effect> {
         match event {
             Event::Tick => self.tick(now),
-            Event::Resumed(pause) => self.wake(pause, now),
-            Event::Digest(digest) => self.hear(digest, now),
-            Event::Request(request) => self.answer(request, now),
-            Event::Response(peer, response) => self.take(peer, response, now),
+            Event::Resumed(pause) => self.resume(pause, now),
+            Event::Digest(digest) => self.receive_digest(digest, now),
+            Event::Request(request) => self.handle_request(request, now),
+            Event::Response(peer, response) => self.handle_response(peer, response, now),
             Event::Failed(peer, lost) => {
                 if let Some(reason) = lost.malformed {
-                    self.note(Kind::BadMessage { peer, reason }, now);
+                    self.record(Kind::BadMessage { peer, reason }, now);
                 }
-                self.lose(lost.method, peer, now);
+                self.handle_pull_failure(lost.method, peer, now);
             }
-            Event::Source(answer) => self.hear_source(answer, now),
-            Event::Note(kind) => self.note(kind, now),
-            Event::UpstreamEnded(loss) => self.note_end(loss, now),
-            Event::Cleared(request) => self.note_answer(request, now),
+            Event::Source(answer) => self.handle_answer(answer, now),
+            Event::Note(kind) => self.record(kind, now),
+            Event::UpstreamEnded(loss) => self.record_crash(loss, now),
+            Event::Cleared(request) => self.record_cleared(request, now),
             Event::Leave => self.leave(now),
-            Event::Stop => self.tell_all(now),
+            Event::Stop => self.gossip_to_all(now),
         }
-        self.pull(now);
-        self.refresh(now);
+        self.start_pulls(now);
+        self.publish_changes(now);
         std::mem::take(&mut self.effects)
     }
 
-    /// Returns the events after `stamp`.
+    /// Returns the recorded events after `stamp`.
     pub fn events_after(&self, stamp: Stamp) -> Vec<Note> {
         self.ring.after(stamp)
     }
 
-    /// Tells whether configuration and list are held, so that calls can be judged.
+    /// Returns whether the node holds configuration and list, and is not leaving.
     pub fn is_ready(&self) -> bool {
         self.ready && !self.leaving
     }
 
-    /// Returns the list as this node holds it.
+    /// Returns this node's copy of the list of upstreams.
     pub fn directory(&self) -> &Directory {
         &self.directory
     }
 
-    /// Returns the revision of the configuration in force; 0 for none.
+    /// Returns the revision of the configuration in force; 0 if there is none.
     pub fn revision(&self) -> u64 {
         self.fence.version().revision
     }
 
     fn tick(&mut self, now: Now) {
-        if now.time >= self.upkeep_due {
-            self.upkeep_due = now.time + UPKEEP;
+        if now.time >= self.maintenance_due {
+            self.maintenance_due = now.time + MAINTENANCE_INTERVAL;
             let changes = self.directory.expire(now.time);
-            self.note_changes(changes, None, now);
+            self.record_changes(changes, None, now);
             self.peers.prune(now.time);
-            self.fence.reset_observed(self.peers.known_config(now.time));
-            // Silence has no event of its own.
-            self.view_stale |= self.peers.look(now.time);
+            self.fence.reset_observed(self.peers.highest_config(now.time));
+            // No event reports a missed digest, so liveness is polled.
+            self.view_stale |= self.peers.update_liveness(now.time);
         }
-        let targets = self.peers.turn(now.time, &mut self.random);
-        self.tell(targets, now);
+        let targets = self.peers.next_targets(now.time, &mut self.random);
+        self.gossip(targets, now);
         if !self.watch.is_idle(now.time) {
             return;
         }
         let rank = self.peers.rank(now.time);
         let readers = self.watch.readers(self.peers.data_centres());
-        let spread = self.peers.spread();
-        if self.fence.held().is_none() || self.watch.is_due(rank, readers, spread, now.time) {
-            let wait = self.watch.begin(self.peers.is_empty());
-            let after = self.read_to.map(|read| read.max(self.held()));
+        let delay = self.peers.propagation_delay();
+        if self.fence.held().is_none() || self.watch.should_call(rank, readers, delay, now.time) {
+            let wait = self.watch.start_call(self.peers.is_empty());
+            let after = self.read_revision.map(|read| read.max(self.held_revision()));
             self.effects.push(Effect::Read(Query::Changes { after, wait }));
         }
     }
 
-    /// Returns the revision up to which configuration and list are held, whoever told them.
+    /// Returns the revision up to which both configuration and list are held, whatever their source.
     ///
-    /// A watch need not tell again what came from others since this node's own last reading: after a
-    /// storm of changes that would be every version of the configuration, a megabyte each. The word
-    /// of others for one of the two things says nothing about how far the other is held.
-    fn held(&self) -> u64 {
+    /// A watch that starts here does not return again what peers already sent. It is the lower of the two
+    /// because peers send configuration and list separately.
+    fn held_revision(&self) -> u64 {
         self.directory.revision().min(self.fence.version().revision)
     }
 
-    fn wake(&mut self, pause: Duration, now: Now) {
-        self.note(Kind::Paused { ms: pause.as_millis() as u64 }, now);
-        self.peers.wake(now.time);
-        self.watch.hurry(now.time);
+    fn resume(&mut self, pause: Duration, now: Now) {
+        self.record(Kind::Paused { ms: pause.as_millis() as u64 }, now);
+        self.peers.resume(now.time);
+        self.watch.call_now(now.time);
     }
 
-    fn hear(&mut self, mut digest: Digest, now: Now) {
+    fn receive_digest(&mut self, mut digest: Digest, now: Now) {
         if let Some(age) = digest.contact_ms {
-            self.watch.hear(Duration::from_millis(age), now.time);
+            self.watch.record_remote_contact(Duration::from_millis(age), now.time);
         }
         self.fence.observe(digest.config);
         let (from, piggyback) = (digest.from.address, std::mem::take(&mut digest.piggyback));
         let reports = std::mem::take(&mut digest.reports);
-        let is_newcomer = digest.from.incarnation > self.peers.incarnation(from);
-        if self.peers.hear(digest, now.time) {
+        let is_joiner = digest.from.incarnation > self.peers.incarnation(from);
+        if self.peers.receive(digest, now.time) {
             self.view_stale = true;
         }
-        self.hear_piggyback(piggyback, from, now);
+        self.apply_piggyback(piggyback, from, now);
         self.quarantine.merge(&reports, now.time);
-        if is_newcomer {
-            self.tell_newcomer(from, now);
+        if is_joiner {
+            self.send_reports_to_joiner(from, now);
         }
     }
 
-    fn answer(&mut self, request: Request, now: Now) {
+    fn handle_request(&mut self, request: Request, now: Now) {
         let response = match request {
             Request::Pull(pull) => Response::Pull(self.fence.answer(&pull)),
             Request::Fetch(fetch) => Response::Fetch(self.directory.since(fetch.have, now.time)),
-            // Beats and exchanges of records belong to the mode without a list.
+            // Only the gossip discovery mode uses these.
             Request::Heartbeat(_) | Request::Sync(_) => return,
         };
         self.effects.push(Effect::Reply(response));
     }
 
-    fn take(&mut self, peer: SocketAddr, response: Response, now: Now) {
+    fn handle_response(&mut self, peer: SocketAddr, response: Response, now: Now) {
         match response {
-            Response::Pull(bundle) => self.take_bundle(peer, bundle, now),
+            Response::Pull(bundle) => self.handle_bundle(peer, bundle, now),
             Response::Fetch(update) => {
-                self.pulls.list.end(peer);
-                self.merge(update, Some(peer), Duration::ZERO, now);
+                self.pulls.list.complete(peer);
+                self.merge_list(update, Some(peer), Duration::ZERO, now);
             }
             Response::Heartbeat(_) | Response::Sync(_) => {}
         }
     }
 
-    fn take_bundle(&mut self, peer: SocketAddr, bundle: Bundle, now: Now) {
-        if !self.pulls.config.end(peer) {
+    fn handle_bundle(&mut self, peer: SocketAddr, bundle: Bundle, now: Now) {
+        if !self.pulls.config.complete(peer) {
             return;
         }
         match self.transfer.receive(&self.fence, bundle) {
             Progress::Complete(set) => {
-                self.offer(*set, Some(peer), now);
+                self.offer_config(*set, Some(peer), now);
             }
-            Progress::Partial => self.pulls.config.go_on_with(peer),
-            Progress::Stale => self.pulls.config.avoid(peer, now.time),
+            Progress::Partial => self.pulls.config.continue_with(peer),
+            Progress::Stale => self.pulls.config.exclude(peer, now.time),
             Progress::Unusable => {
                 let reason = "the documents do not have the announced digest".to_owned();
-                self.note(Kind::BadMessage { peer, reason }, now);
-                self.pulls.config.avoid(peer, now.time);
+                self.record(Kind::BadMessage { peer, reason }, now);
+                self.pulls.config.exclude(peer, now.time);
             }
         }
     }
 
-    /// Pulls what another node is ahead with, unless a pull is under way.
-    fn pull(&mut self, now: Now) {
-        if !self.awaits_platform(now) {
+    /// Starts pulls from peers that are ahead, at most one each for configuration and list.
+    fn start_pulls(&mut self, now: Now) {
+        if !self.should_await_platform(now) {
             let (peers, fence) = (&self.peers, &self.fence);
             let peer = self.pulls.next_config(peers, fence, now.time, &mut self.random);
             let next = peer.map(|peer| (peer, Request::Pull(self.transfer.pull(fence))));
@@ -330,16 +317,16 @@
         self.send_pull(next);
     }
 
-    /// Takes into account that `peer` did not answer a pull in time.
-    fn lose(&mut self, method: Method, peer: SocketAddr, now: Now) {
+    /// Handles a pull that `peer` did not answer in time.
+    fn handle_pull_failure(&mut self, method: Method, peer: SocketAddr, now: Now) {
         if method == Method::Pull {
             self.transfer.note_timeout();
         }
         let failures = self.pulls.fail(method, peer, now.time);
-        // A night of failures must not push everything else out of the ring.
+        // Rate-limits the event, so that a long outage does not evict all others from the ring.
         if failures.is_power_of_two() {
             let asked = method.name().to_owned();
-            self.note(Kind::PullLost { peer, asked, failures }, now);
+            self.record(Kind::PullLost { peer, asked, failures }, now);
         }
     }
 
@@ -349,17 +336,16 @@
         }
     }
 
-    /// Tells whether a node without configuration should still wait for the platform's answer.
+    /// Returns whether a node without configuration should still wait for the platform's answer.
     ///
-    /// After a herd restart all nodes want the whole configuration at once. The platform's link
-    /// carries that; those of the nodes that went on working, which serve everybody meanwhile, may
-    /// not.
-    fn awaits_platform(&self, now: Now) -> bool {
+    /// After a mass restart, full copies for every node could saturate the links of the peers that still
+    /// serve traffic.
+    fn should_await_platform(&self, now: Now) -> bool {
         if is_slow(self.settings.link_mbps) {
             return false;
         }
-        let asked = self.fence.held().is_none() && !self.watch.is_failing();
-        asked && now.time.since(self.started) < PLATFORM_FIRST
+        let is_pending = self.fence.held().is_none() && !self.watch.is_failing();
+        is_pending && now.time.since(self.started) < PLATFORM_WAIT
     }
 
     fn leave(&mut self, now: Now) {
@@ -367,30 +353,30 @@
             return;
         }
         self.leaving = true;
-        self.note(Kind::Leaving { peer: self.settings.address }, now);
-        self.tell_all(now);
+        self.record(Kind::Leaving { peer: self.settings.address }, now);
+        self.gossip_to_all(now);
     }
 
-    fn tell_all(&mut self, now: Now) {
+    fn gossip_to_all(&mut self, now: Now) {
         let targets = self.peers.iter().map(|(address, _)| *address).collect();
-        self.tell(targets, now);
+        self.gossip(targets, now);
     }
 
-    fn tell(&mut self, targets: Vec<SocketAddr>, now: Now) {
-        self.tell_news(targets, Piggyback::default(), now);
+    fn gossip(&mut self, targets: Vec<SocketAddr>, now: Now) {
+        self.gossip_with(targets, Piggyback::default(), now);
     }
 
-    fn tell_news(&mut self, targets: Vec<SocketAddr>, piggyback: Piggyback, now: Now) {
+    fn gossip_with(&mut self, targets: Vec<SocketAddr>, piggyback: Piggyback, now: Now) {
         if targets.is_empty() {
             return;
         }
-        let (heard_ms, rumours) = self.peers.hearsay(now.time);
+        let (heard_ms, rumours) = self.peers.indirect_state(now.time);
         let reports = self.quarantine.next_reports(REPORTS_PER_DIGEST, now.time);
         let digest = Digest { heard_ms, rumours, piggyback, reports, ..self.digest(now) };
         self.effects.push(Effect::Gossip(targets, digest));
     }
 
-    /// Returns a summary of what this node holds, and nothing of others.
+    /// Returns a digest of this node's own state, without rumours, changes or reports.
     fn digest(&self, now: Now) -> Digest {
         Digest {
             from: Sender { address: self.settings.address, incarnation: self.settings.incarnation },
@@ -408,45 +394,45 @@
         }
     }
 
-    /// Works out anew what depends on list and peers, if that has changed.
-    fn refresh(&mut self, now: Now) {
+    /// Emits effects for view, expected revision, quarantine and readiness where they have changed.
+    fn publish_changes(&mut self, now: Now) {
         if std::mem::replace(&mut self.view_stale, false) {
-            let view = Arc::new(self.view(now));
-            if view != self.shown {
-                self.shown = view.clone();
+            let view = Arc::new(self.build_view(now));
+            if view != self.view {
+                self.view = view.clone();
                 self.effects.push(Effect::View(view));
             }
         }
         self.effects.extend(self.announced.update(&self.fence).map(Effect::Expected));
-        self.refresh_quarantine(now);
+        self.publish_quarantine(now);
         let ready = self.fence.held().is_some() && self.directory.revision() > 0;
         if ready && !self.ready {
             self.ready = true;
             self.effects.push(Effect::Open);
-            self.note(Kind::Ready { ready }, now);
-            // Starting nodes on slow links wait for a word of one that they can learn from.
-            let targets = self.peers.first_audience(FAR_AUDIENCE, &mut self.random);
-            self.tell(targets, now);
+            self.record(Kind::Ready { ready }, now);
+            // Starting nodes on slow links wait for the digest of a peer that they can pull from.
+            let targets = self.peers.broadcast_targets(FAR_FANOUT, &mut self.random);
+            self.gossip(targets, now);
         }
     }
 
-    fn note(&mut self, kind: Kind, now: Now) {
+    fn record(&mut self, kind: Kind, now: Now) {
         let stamp = self.clock.stamp(now);
         self.ring.push(Note { stamp, node: self.settings.instance.clone(), kind });
     }
 }
 
-/// Tells whether a link of `link_mbps` is slow; 0 stands for one of unknown speed.
+/// Returns whether a link of `link_mbps` is slow; 0 means unknown and does not count as slow.
 fn is_slow(link_mbps: u32) -> bool {
     (1..SLOW_LINK_MBPS).contains(&link_mbps)
 }
 
-/// Returns how long a starting node listens for others before it calls the platform.
-fn listening(link_mbps: u32, random: &mut SmallRng) -> Duration {
+/// Returns how long a starting node waits for peers, with jitter; zero unless its link is slow.
+fn listen_wait(link_mbps: u32, random: &mut SmallRng) -> Duration {
     if !is_slow(link_mbps) {
         return Duration::ZERO;
     }
-    LISTEN + LISTEN_SPREAD.mul_f64(random.random_range(0.0..1.0))
+    LISTEN_WAIT + LISTEN_JITTER.mul_f64(random.random_range(0.0..1.0))
 }
 
 impl Machine for Control {
@@ -467,6 +453,6 @@
     }
 
     fn count(&self, state: State) -> usize {
-        self.shown.iter().filter(|(_, upstream)| upstream.state == state).count()
+        self.view.iter().filter(|(_, upstream)| upstream.state == state).count()
     }
 }
--- a/crates/fleet/src/listed/changes.rs
+++ b/crates/fleet/src/listed/changes.rs
@@ -1,4 +1,4 @@
-//! What changes of the list mean for a node in listed mode: events, who is cold, who was taken back.
+//! Effects of list changes: timeline events, cold upstreams and readmitted data centres.
 
 use model::{service, time::Time};
 use std::{net::SocketAddr, time::Duration};
@@ -11,20 +11,20 @@
     timeline::Kind,
 };
 
-/// For how long it is remembered that a data centre was taken back: no upstream stays cold longer.
-const TAKEN_BACK_KEPT: Duration = Duration::from_millis(*service::COLD_MS.end());
+/// How long the withdrawal of an evacuation is kept; the longest time that an upstream can stay cold.
+const READMISSION_RETENTION: Duration = Duration::from_millis(*service::COLD_MS.end());
 
 impl Control {
-    pub(super) fn note_changes(
+    pub(super) fn record_changes(
         &mut self,
         changes: Vec<(Entry, Change)>,
         from: Option<SocketAddr>,
         now: Now,
     ) {
         for (entry, change) in changes {
-            self.peers.list(self.node_of(&entry), &entry.data_centre, now.time);
+            self.peers.add_listed(self.node_of(&entry), &entry.data_centre, now.time);
             self.view_stale = true;
-            self.note_cold(&entry, change, now.time);
+            self.update_cold_until(&entry, change, now.time);
             if change == Change::Revised {
                 continue;
             }
@@ -36,15 +36,15 @@
                 revision: self.directory.revision(),
                 from,
             };
-            self.note(kind, now);
+            self.record(kind, now);
         }
     }
 
-    /// Takes note of how long an upstream stays cold. What it wrote took a moment to arrive here, so it
-    /// may be warm a little sooner.
-    fn note_cold(&mut self, entry: &Entry, change: Change, now: Time) {
+    /// Updates when an upstream counts as warm. It may be warm earlier, by the delay with which the change
+    /// arrived.
+    fn update_cold_until(&mut self, entry: &Entry, change: Change, now: Time) {
         match change {
-            // What it wrote before is all that is known of it.
+            // The removal is pending, so the last entry still applies.
             Change::RemovalPending => {}
             _ if change == Change::Gone || entry.cold_ms == 0 => {
                 self.cold_until.remove(&entry.id);
@@ -56,14 +56,14 @@
         }
     }
 
-    pub(super) fn note_orders(&mut self, orders: Vec<Order>, from: Option<SocketAddr>, now: Now) {
-        self.taken_back.retain(|_, at| now.time.since(*at) < TAKEN_BACK_KEPT);
+    pub(super) fn record_orders(&mut self, orders: Vec<Order>, from: Option<SocketAddr>, now: Now) {
+        self.readmitted_at.retain(|_, at| now.time.since(*at) < READMISSION_RETENTION);
         for Order { data_centre, revision, withdrawn } in orders {
             self.view_stale = true;
             if withdrawn {
-                self.taken_back.insert(data_centre.clone(), now.time);
+                self.readmitted_at.insert(data_centre.clone(), now.time);
             }
-            self.note(Kind::Evacuation { data_centre, withdrawn, revision, from }, now);
+            self.record(Kind::Evacuation { data_centre, withdrawn, revision, from }, now);
         }
     }
 }
--- a/crates/fleet/src/listed/reports.rs
+++ b/crates/fleet/src/listed/reports.rs
@@ -1,4 +1,4 @@
-//! What a node in listed mode makes of the ends of upstreams, its own and those that others tell of.
+//! Records crashes of this node's upstream and sends quarantine reports to peers.
 
 use model::request::Fingerprint;
 use std::net::SocketAddr;
@@ -6,51 +6,50 @@
 use crate::{
     clock::Now,
     control::Effect,
-    listed::{Control, FAR_AUDIENCE},
+    listed::{Control, FAR_FANOUT},
     message::Digest,
     quarantine::{Crash, Report},
     timeline::Kind,
 };
 
 impl Control {
-    pub(super) fn note_end(&mut self, loss: Crash, now: Now) {
+    pub(super) fn record_crash(&mut self, loss: Crash, now: Now) {
         self.quarantine.note_end(&loss, now.time);
-        self.note(Kind::UpstreamEnded { requests: loss.labels() }, now);
-        self.tell_ends(now);
+        self.record(Kind::UpstreamEnded { requests: loss.labels() }, now);
+        self.send_urgent_reports(now);
     }
 
-    pub(super) fn note_answer(&mut self, request: Fingerprint, now: Now) {
+    pub(super) fn record_cleared(&mut self, request: Fingerprint, now: Now) {
         self.quarantine.note_answer(request, now.time);
-        self.tell_ends(now);
+        self.send_urgent_reports(now);
     }
 
-    /// Tells the others at once what the own upstream's end or answer shows: the next upstream may end within the
-    /// time that a call takes, and so may this node.
-    fn tell_ends(&mut self, now: Now) {
-        let targets = self.peers.first_audience(FAR_AUDIENCE, &mut self.random);
+    /// Sends new reports at once: a retry of the same request could crash another upstream before the next
+    /// digest, and this node may crash too.
+    fn send_urgent_reports(&mut self, now: Now) {
+        let targets = self.peers.broadcast_targets(FAR_FANOUT, &mut self.random);
         let found = self.quarantine.urgent_reports(now.time);
-        self.tell_reports(targets, found, now);
+        self.send_reports(targets, found, now);
     }
 
-    fn tell_reports(&mut self, targets: Vec<SocketAddr>, groups: Vec<Vec<Report>>, now: Now) {
+    fn send_reports(&mut self, targets: Vec<SocketAddr>, groups: Vec<Vec<Report>>, now: Now) {
         for reports in groups {
             let digest = Digest { reports, ..self.digest(now) };
             self.effects.push(Effect::Gossip(targets.clone(), digest));
         }
     }
 
-    pub(super) fn refresh_quarantine(&mut self, now: Now) {
+    pub(super) fn publish_quarantine(&mut self, now: Now) {
         let Some(changes) = self.quarantine.refresh(now.time) else { return };
         for change in changes {
-            self.note(change.event(now.time), now);
+            self.record(change.event(now.time), now);
         }
         self.effects.push(Effect::Quarantine(self.quarantine.current().clone()));
     }
 
-    /// Tells a node that has just started what must not run: the first request that it is asked for may be such
-    /// a one.
-    pub(super) fn tell_newcomer(&mut self, node: SocketAddr, now: Now) {
+    /// Sends the quarantined requests to a node that has just started; its first request may be one of them.
+    pub(super) fn send_reports_to_joiner(&mut self, node: SocketAddr, now: Now) {
         let held = self.quarantine.joiner_reports(now.time);
-        self.tell_reports(vec![node], held, now);
+        self.send_reports(vec![node], held, now);
     }
 }
--- a/crates/fleet/src/listed/view.rs
+++ b/crates/fleet/src/listed/view.rs
@@ -1,5 +1,4 @@
-//! What a node in listed mode knows of the upstreams: the view that calls are sent by, and what
-//! operators are told.
+//! Builds the routing view and the operators' status from list, peers and evacuations.
 
 use std::{collections::HashMap, net::SocketAddr};
 
@@ -7,14 +6,14 @@
     clock::Now,
     directory::{Entry, Standing},
     evacuation::Order,
-    listed::{Control, peers::Reach},
+    listed::{Control, peers::Liveness},
     member::State,
     status,
     view::{Upstream, View},
 };
 
 impl Control {
-    /// Returns what operators are told.
+    /// Returns the status of this node and of the members it knows.
     pub fn status(&mut self, now: Now) -> status::Node {
         status::Node {
             product: self.settings.product.clone(),
@@ -47,9 +46,9 @@
         self.directory.entries().map(member).collect()
     }
 
-    pub(super) fn view(&self, now: Now) -> View {
-        // An upstream that fell silent stays listed until its entry lapses; by then its address may
-        // belong to another one, whose entry is the later one.
+    pub(super) fn build_view(&self, now: Now) -> View {
+        // The entry of a dead upstream stays until it expires; a replacement may already use the same
+        // address, and its entry has the higher revision.
         let mut latest: HashMap<SocketAddr, u64> = HashMap::new();
         for entry in self.directory.entries() {
             let revision = latest.entry(entry.address).or_default();
@@ -78,11 +77,11 @@
             state: self.state_of(entry, now),
             slots: entry.slots,
             cold_until: self.cold_until.get(&entry.id).copied().unwrap_or_default(),
-            readmitted_at: self.taken_back.get(&entry.data_centre).copied(),
+            readmitted_at: self.readmitted_at.get(&entry.data_centre).copied(),
         }
     }
 
-    /// Returns the standing of an upstream as far as calls are concerned.
+    /// Returns the routing state of an upstream.
     fn state_of(&self, entry: &Entry, now: Now) -> State {
         if entry.standing == Standing::Leaving {
             return State::Leaving;
@@ -93,10 +92,10 @@
         if entry.address == self.settings.upstream {
             return State::Live;
         }
-        match self.peers.reach(self.node_of(entry), now.time) {
-            Reach::Heard if self.peers.is_silent(&entry.data_centre) => State::Unreachable,
-            Reach::Heard => State::Live,
-            Reach::Leaving | Reach::Silent => State::Unreachable,
+        match self.peers.liveness(self.node_of(entry), now.time) {
+            Liveness::Alive if self.peers.is_silent(&entry.data_centre) => State::Unreachable,
+            Liveness::Alive => State::Live,
+            Liveness::Leaving | Liveness::Silent => State::Unreachable,
         }
     }
 
