--- a/crates/telemetry/src/metric.rs
+++ b/crates/telemetry/src/metric.rs
@@ -30,67 +30,67 @@
     name: "baobabrelay.calls",
     unit: "{call}",
     attributes: "service, outcome",
-    help: "Calls answered by this node as entry node, by outcome",
+    help: "Calls answered by this node as entry node",
 };
 const NOT_RUN: Entry = Entry {
     name: "baobabrelay.not_run",
     unit: "{call}",
     attributes: "service, cause",
-    help: "Calls answered as not executed",
+    help: "Calls answered as not run",
 };
 const RETRIES: Entry = Entry {
     name: "baobabrelay.retries",
     unit: "{attempt}",
     attributes: "service",
-    help: "Retries and hedged requests",
+    help: "Attempts after the first",
 };
 const REFUSED: Entry = Entry {
     name: "baobabrelay.claims_refused",
     unit: "{offer}",
     attributes: "cause",
-    help: "Requests that this node as serving node refused before execution",
+    help: "Offers that this node as serving node refused before running them",
 };
 const EJECTIONS: Entry = Entry {
     name: "baobabrelay.ejections",
     unit: "{upstream}",
     attributes: "service",
-    help: "Ejections of upstreams from load balancing by this node",
+    help: "Upstreams that this node stopped choosing for a while",
 };
 const ENDS: Entry = Entry {
     name: "baobabrelay.upstream.ends",
     unit: "{process}",
     attributes: "",
-    help: "Crashes of the local upstream's process while it executed requests",
+    help: "Times that the own upstream's process ended while it ran requests",
 };
 const QUARANTINED: Entry = Entry {
     name: "baobabrelay.quarantined",
     unit: "{request}",
     attributes: "",
-    help: "Poison requests in quarantine, which are not executed",
+    help: "Requests that are not run, since upstreams ended under them",
 };
 const DURATION: Entry = Entry {
     name: "baobabrelay.call.duration",
     unit: "s",
     attributes: "service",
-    help: "Time from receiving a request's head to its answer",
+    help: "Time from a request's head to its answer",
 };
 const REVISION: Entry = Entry {
     name: "baobabrelay.config.revision",
     unit: "{revision}",
     attributes: "",
-    help: "Active revision of the configuration",
+    help: "Revision in force",
 };
 const KNOWN: Entry = Entry {
     name: "baobabrelay.config.known",
     unit: "{revision}",
     attributes: "",
-    help: "Highest revision of the configuration that any known node holds",
+    help: "Highest revision of the configuration that any node was heard to hold",
 };
 const REJECTED: Entry = Entry {
     name: "baobabrelay.config.rejected",
     unit: "{version}",
     attributes: "",
-    help: "Rejected versions of the configuration",
+    help: "Versions refused",
 };
 const MEMBERS: Entry =
     Entry { name: "baobabrelay.members", unit: "{node}", attributes: "state", help: "Known nodes" };
@@ -104,7 +104,7 @@
     name: "baobabrelay.peer.lost",
     unit: "{message}",
     attributes: "kind",
-    help: "Requests to other nodes without a valid response in time",
+    help: "Requests to other nodes that brought no answer in time",
 };
 const READS: Entry = Entry {
     name: "baobabrelay.source.reads",
@@ -116,13 +116,13 @@
     name: "baobabrelay.control.cpu",
     unit: "s",
     attributes: "",
-    help: "CPU time of all threads that do not serve calls",
+    help: "Processor time of all threads that do not carry calls",
 };
 const IN_FLIGHT: Entry = Entry {
     name: "baobabrelay.calls.in_hand",
     unit: "{call}",
     attributes: "",
-    help: "Calls in flight on this node as entry node",
+    help: "Calls that this node holds as entry node",
 };
 
 /// All metrics, in the order of the reference page.
