--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -37,7 +37,7 @@
 };
 use telemetry::metric;
 use tokio::runtime::{Builder, Runtime};
-use traffic::{Clock, Door, Listener, Proxy, Tuning};
+use traffic::{Audience, Clock, Listener, Proxy, Tuning};
 
 use crate::{
     control::Link,
@@ -174,11 +174,11 @@
 /// Opens every address at which calls are taken.
 async fn bind(settings: &Settings) -> Result<Vec<Listener>, traffic::Error> {
     let listen = settings.listen;
-    let callers = if listen.nodes.is_some() { Door::Callers } else { Door::All };
-    let mut listeners = vec![Listener::bind_door(listen.traffic, callers).await?];
-    for (address, door) in [(listen.nodes, Door::Nodes), (listen.ready, Door::Ready)] {
+    let callers = if listen.nodes.is_some() { Audience::Callers } else { Audience::All };
+    let mut listeners = vec![Listener::bind_for(listen.traffic, callers).await?];
+    for (address, audience) in [(listen.nodes, Audience::Nodes), (listen.ready, Audience::Probes)] {
         if let Some(address) = address {
-            listeners.push(Listener::bind_door(address, door).await?);
+            listeners.push(Listener::bind_for(address, audience).await?);
         }
     }
     Ok(listeners)
--- a/crates/traffic/src/entry.rs
+++ b/crates/traffic/src/entry.rs
@@ -3,7 +3,7 @@
 mod attempt;
 mod choice;
 mod hedge;
-mod repeat;
+mod retries;
 
 use fleet::{member::State, view::Upstream};
 use policy::{
@@ -16,8 +16,8 @@
 use crate::{
     call::{Answer, Call},
     entry::{
-        choice::{choose, choose_again},
-        repeat::{next_step, note_call, patience},
+        choice::{choose, choose_after_timeout},
+        retries::{deadline, next_step, record_call},
     },
     net::stream::SocketState,
     proxy::Proxy,
@@ -26,29 +26,30 @@
 
 /// Offers the call to one upstream after the other until one answers or nothing more may be tried.
 pub(crate) async fn run(proxy: &Arc<Proxy>, call: &Call<'_>) -> Result<Answer, Outcome> {
-    note_call(proxy, call);
+    record_call(proxy, call);
     let mut tried: Vec<Upstream> = Vec::new();
-    let mut arrivals = 0;
-    let mut last = without_upstream(proxy, call.service).outcome();
+    let mut reached = 0;
+    let mut last = no_upstream_cause(proxy, call.service).outcome();
     loop {
-        if let Some(outcome) = lost_meanwhile(proxy, call) {
+        if let Some(outcome) = stop_outcome(proxy, call) {
             return Err(if tried.is_empty() { outcome } else { outcome.after(last) });
         }
-        let chosen = choose(proxy, call, &tried).or_else(|| choose_again(proxy, call, last));
+        let chosen =
+            choose(proxy, call, &tried).or_else(|| choose_after_timeout(proxy, call, last));
         let Some(upstream) = chosen else { return Err(last) };
         tried.push(upstream.clone());
         let result = match proxy.tuning().budget {
-            Some(_) => hedge::run(proxy, call, &upstream, &mut tried, &mut arrivals).await,
-            None => attempt::run(proxy, call, &upstream, patience(proxy, call, tried.len())).await,
+            Some(_) => hedge::run(proxy, call, &upstream, &mut tried, &mut reached).await,
+            None => attempt::run(proxy, call, &upstream, deadline(proxy, call, tried.len())).await,
         };
         let outcome = match result {
             Ok(answer) => return Ok(answer),
             Err(outcome) => outcome,
         };
         let address = upstream.address;
-        arrivals += u32::from(retry::may_have_reached_upstream(outcome));
+        reached += u32::from(retry::may_have_reached_upstream(outcome));
         last = outcome.after(last);
-        if next_step(proxy, call, outcome, tried.len(), arrivals) == retry::Step::GiveUp {
+        if next_step(proxy, call, outcome, tried.len(), reached) == retry::Step::GiveUp {
             return Err(last);
         }
         proxy.meter.count_retry(call.service);
@@ -57,7 +58,7 @@
 }
 
 /// Returns why a call to `service` finds no upstream, if it finds none.
-fn without_upstream(proxy: &Proxy, service: &str) -> Cause {
+fn no_upstream_cause(proxy: &Proxy, service: &str) -> Cause {
     let view = proxy.view();
     let is_evacuated = |upstream: &Upstream| upstream.state == State::Evacuated;
     match view.upstreams(service).iter().any(is_evacuated) {
@@ -68,15 +69,15 @@
 
 /// Returns why no further attempt may be made, if time is over, the caller has gone, or upstreams end under
 /// such calls.
-fn lost_meanwhile(proxy: &Proxy, call: &Call<'_>) -> Option<Outcome> {
+fn stop_outcome(proxy: &Proxy, call: &Call<'_>) -> Option<Outcome> {
     let now = proxy.clock.now();
-    let moment = retry::CallState {
+    let state = retry::CallState {
         now,
         deadline: call.deadline,
         paused: proxy.may_be_stale(call.received, now),
         connected: call.origin.socket_state() != SocketState::Closed,
     };
-    retry::stop_cause(moment).map(Cause::outcome).or_else(|| quarantined(proxy, call))
+    retry::stop_cause(state).map(Cause::outcome).or_else(|| quarantined(proxy, call))
 }
 
 /// Returns the outcome of a call that must not run, since upstreams ended under such calls, and notes which.
--- a/crates/traffic/src/entry/attempt.rs
+++ b/crates/traffic/src/entry/attempt.rs
@@ -21,16 +21,16 @@
     proxy: &Arc<Proxy>,
     call: &Call<'_>,
     upstream: &Upstream,
-    patience: Time,
+    deadline: Time,
 ) -> Result<Answer, Outcome> {
     let begun = proxy.clock.now();
     let id = proxy.next_id();
-    note_offer(proxy, call, upstream, id, begun);
-    let mut watch = Watch::new(proxy, call.service, upstream, begun);
+    trace_offer(proxy, call, upstream, id, begun);
+    let mut guard = Guard::new(proxy, call.service, upstream, begun);
     let remaining = call.deadline.since(begun);
-    let result = sender::attempt(proxy, call, upstream, id, patience).await;
+    let result = sender::attempt(proxy, call, upstream, id, deadline).await;
     let elapsed = proxy.clock.now().since(begun);
-    note_end(proxy, call, id, &result, elapsed);
+    trace_end(proxy, call, id, &result, elapsed);
     if result.is_ok() && elapsed > remaining / 2 {
         proxy.events.add(Event::Slow(call.service.to_owned(), upstream.address));
     }
@@ -39,12 +39,12 @@
         Ok(_) => Sample::Answered(elapsed),
         Err(outcome) => Sample::of_failure(*outcome, elapsed),
     };
-    watch.end(sample);
+    guard.end(sample);
     match (&result, sample) {
         (Ok(answer), Sample::Answered(time)) => {
-            note_answered(proxy, call, upstream, time, answer.body.len());
+            record_answer(proxy, call, upstream, time, answer.body.len());
         }
-        (_, Sample::TimedOut(time)) => note_silent(proxy, call, upstream, time),
+        (_, Sample::TimedOut(time)) => record_timeout(proxy, call, upstream, time),
         // A failure may come sooner or later than an answer; its time tells nothing.
         _ => {}
     }
@@ -52,7 +52,7 @@
 }
 
 /// Notes an answer of `bytes` after `time`, and how that compares with other calls of the route.
-fn note_answered(
+fn record_answer(
     proxy: &Proxy,
     call: &Call<'_>,
     upstream: &Upstream,
@@ -60,30 +60,35 @@
     bytes: usize,
 ) {
     let before = proxy.estimates.record(call.service, &call.options.route, time, bytes);
-    compare(proxy, call, upstream, before.map_or(1.0, |latency| latency.ratio(time)));
+    record_slowness(proxy, call, upstream, before.map_or(1.0, |latency| latency.ratio(time)));
 }
 
 /// Notes that there was no answer within `time`, and how that compares with other calls.
-fn note_silent(proxy: &Proxy, call: &Call<'_>, upstream: &Upstream, time: Duration) {
+fn record_timeout(proxy: &Proxy, call: &Call<'_>, upstream: &Upstream, time: Duration) {
     let latency = proxy.estimates.latency(call.service, &call.options.route);
     let ratio = latency.map_or(1.0, |latency| latency.ratio(time));
-    compare(proxy, call, upstream, ratio.max(1.0));
+    record_slowness(proxy, call, upstream, ratio.max(1.0));
 }
 
 /// Notes that a call took `ratio` times as long as those of its route usually do.
-fn compare(proxy: &Proxy, call: &Call<'_>, upstream: &Upstream, ratio: f64) {
+fn record_slowness(proxy: &Proxy, call: &Call<'_>, upstream: &Upstream, ratio: f64) {
     let now = proxy.clock.now();
     proxy.services.with(call.service, |s| s.record(upstream, now).record_slowness(ratio, now));
 }
 
 /// Notes that a call to `first` was answered by another upstream after `waited`.
-pub(super) fn note_overtaken(proxy: &Proxy, call: &Call<'_>, first: &Upstream, waited: Duration) {
+pub(super) fn record_hedge_loss(
+    proxy: &Proxy,
+    call: &Call<'_>,
+    first: &Upstream,
+    waited: Duration,
+) {
     let now = proxy.clock.now();
     proxy.services.with(call.service, |s| s.record(first, now).record_hedge_loss(waited, now));
-    note_silent(proxy, call, first, waited);
+    record_timeout(proxy, call, first, waited);
 }
 
-fn note_offer(proxy: &Proxy, call: &Call<'_>, upstream: &Upstream, attempt: u64, now: Time) {
+fn trace_offer(proxy: &Proxy, call: &Call<'_>, upstream: &Upstream, attempt: u64, now: Time) {
     let candidates = proxy.view().upstreams(call.service).len();
     let step = proxy.services.with(call.service, |service| {
         let record = service.record(upstream, now);
@@ -101,7 +106,7 @@
     call.trace.note(&proxy.log, step);
 }
 
-fn note_end(
+fn trace_end(
     proxy: &Proxy,
     call: &Call<'_>,
     attempt: u64,
@@ -126,17 +131,17 @@
 }
 
 /// Notes a call to an upstream, also if the call is dropped before it ends.
-struct Watch<'a> {
+struct Guard<'a> {
     proxy: &'a Proxy,
     service: &'a str,
     upstream: &'a Upstream,
     ended: bool,
 }
 
-impl<'a> Watch<'a> {
+impl<'a> Guard<'a> {
     fn new(proxy: &'a Proxy, service: &'a str, upstream: &'a Upstream, now: Time) -> Self {
         proxy.services.with(service, |s| s.record(upstream, now).begin());
-        Watch { proxy, service, upstream, ended: false }
+        Guard { proxy, service, upstream, ended: false }
     }
 
     fn end(&mut self, sample: Sample) {
@@ -153,7 +158,7 @@
     }
 }
 
-impl Drop for Watch<'_> {
+impl Drop for Guard<'_> {
     fn drop(&mut self) {
         if !self.ended {
             let now = self.proxy.clock.now();
--- a/crates/traffic/src/entry/choice.rs
+++ b/crates/traffic/src/entry/choice.rs
@@ -17,33 +17,39 @@
 };
 
 /// An upstream that may take work, and what was seen of it.
-type Seen<'a> = (&'a Upstream, &'a Record);
+type Observed<'a> = (&'a Upstream, &'a Record);
 
 /// Chooses an upstream that the call was not offered to so far.
 pub(super) fn choose(proxy: &Proxy, call: &Call<'_>, tried: &[Upstream]) -> Option<Upstream> {
     let view = proxy.view();
     let now = proxy.clock.now();
-    let able: Vec<&Upstream> =
+    let available: Vec<&Upstream> =
         view.upstreams(call.service).iter().filter(|u| u.state.takes_work()).collect();
     proxy.services.with(call.service, |service| {
-        for upstream in &able {
+        for upstream in &available {
             service.record(upstream, now);
         }
-        let seen = |upstream| Some((upstream, service.seen(upstream)?));
-        let able: Vec<Seen<'_>> = able.into_iter().map(seen).collect::<Option<_>>()?;
+        let observe = |upstream| Some((upstream, service.seen(upstream)?));
+        let available: Vec<Observed<'_>> =
+            available.into_iter().map(observe).collect::<Option<_>>()?;
         let chosen = match proxy.settings.incarnation {
-            Some(_) => choose_near(call, &able, tried, now),
-            None => choose_room(proxy, call, &able, tried, now),
+            Some(_) => choose_by_health(call, &available, tried, now),
+            None => choose_by_capacity(proxy, call, &available, tried, now),
         };
-        chosen.map(|index| able[index].0.clone())
+        chosen.map(|index| available[index].0.clone())
     })
 }
 
 /// Chooses by what this node has seen alone.
-fn choose_near(call: &Call<'_>, able: &[Seen<'_>], tried: &[Upstream], now: Time) -> Option<usize> {
+fn choose_by_health(
+    call: &Call<'_>,
+    available: &[Observed<'_>],
+    tried: &[Upstream],
+    now: Time,
+) -> Option<usize> {
     let reach = if call.profile.spill { Reach::Failover } else { Reach::LocalOnly };
     let slow_start = Duration::from_millis(call.profile.slow_start_ms);
-    let candidates: Vec<choice::Candidate<'_>> = able
+    let candidates: Vec<choice::Candidate<'_>> = available
         .iter()
         .map(|&(u, record)| choice::Candidate { record, local: u.near, tried: is_tried(tried, u) })
         .collect();
@@ -51,21 +57,21 @@
 }
 
 /// Chooses by the room that upstreams are known to have.
-fn choose_room(
+fn choose_by_capacity(
     proxy: &Proxy,
     call: &Call<'_>,
-    able: &[Seen<'_>],
+    available: &[Observed<'_>],
     tried: &[Upstream],
     now: Time,
 ) -> Option<usize> {
     let response_bytes = proxy.estimates.bytes(call.service, &call.options.route);
     let warm_up = proxy.warm_up(call.service);
-    let candidates: Vec<placement::Candidate<'_>> = able
+    let candidates: Vec<placement::Candidate<'_>> = available
         .iter()
         .map(|&(u, record)| placement::Candidate {
             record,
             slots: u.slots,
-            locality: way(proxy, u),
+            locality: locality(proxy, u),
             tried: is_tried(tried, u),
             request_bytes: call.payload.body.len(),
             response_bytes,
@@ -87,9 +93,13 @@
 /// Chooses among all upstreams again, where every one was tried and the last was silent.
 ///
 /// The connection may have been silent and not the upstream; the next attempt uses a new one.
-pub(super) fn choose_again(proxy: &Proxy, call: &Call<'_>, last: Outcome) -> Option<Upstream> {
-    let silent = last == Outcome::Unknown(Doubt::Timeout) && call.kind() == Kind::Idempotent;
-    if silent { choose(proxy, call, &[]) } else { None }
+pub(super) fn choose_after_timeout(
+    proxy: &Proxy,
+    call: &Call<'_>,
+    last: Outcome,
+) -> Option<Upstream> {
+    let timed_out = last == Outcome::Unknown(Doubt::Timeout) && call.kind() == Kind::Idempotent;
+    if timed_out { choose(proxy, call, &[]) } else { None }
 }
 
 /// Tells whether the call was offered to this life of `upstream`. What else its entry says may have
@@ -98,10 +108,10 @@
     tried.iter().any(|earlier| is_same_incarnation(earlier, upstream))
 }
 
-fn way(proxy: &Proxy, upstream: &Upstream) -> placement::Locality {
+fn locality(proxy: &Proxy, upstream: &Upstream) -> placement::Locality {
     match upstream {
-        own if proxy.is_colocated(own) => placement::Locality::Instance,
-        near if near.near => placement::Locality::DataCentre,
+        upstream if proxy.is_colocated(upstream) => placement::Locality::Instance,
+        upstream if upstream.near => placement::Locality::DataCentre,
         _ => placement::Locality::Remote,
     }
 }
--- a/crates/traffic/src/entry/hedge.rs
+++ b/crates/traffic/src/entry/hedge.rs
@@ -15,32 +15,32 @@
 
 use crate::{
     call::{Answer, Call},
-    entry::{attempt, choice::choose, repeat},
+    entry::{attempt, choice::choose, retries},
     proxy::Proxy,
     record::events::Event,
 };
 
 /// Offers the call to `first`, and to one more upstream if that stays silent for long.
 ///
-/// `tried` and `arrivals` count the second upstream as well.
+/// `tried` and `reached` count the second upstream as well.
 pub(super) async fn run(
     proxy: &Arc<Proxy>,
     call: &Call<'_>,
     first: &Upstream,
     tried: &mut Vec<Upstream>,
-    arrivals: &mut u32,
+    reached: &mut u32,
 ) -> Result<Answer, Outcome> {
     let begun = proxy.clock.now();
     let mut primary = pin!(attempt::run(proxy, call, first, call.deadline));
-    let Some(delay) = repeat::second_delay(proxy, call, first) else { return primary.await };
+    let Some(delay) = retries::hedge_delay(proxy, call, first) else { return primary.await };
     if let Ok(result) = timeout(delay, &mut primary).await {
         return result;
     }
-    let Some(second) = second_upstream(proxy, call, tried, *arrivals + 1) else {
+    let Some(second) = second_upstream(proxy, call, tried, *reached + 1) else {
         return primary.await;
     };
     tried.push(second.clone());
-    *arrivals += 1;
+    *reached += 1;
     proxy.meter.count_retry(call.service);
     proxy.events.add(Event::Retried(call.service.to_owned(), first.address, "silent"));
     let mut secondary = pin!(attempt::run(proxy, call, &second, call.deadline));
@@ -51,7 +51,7 @@
         },
         result = &mut secondary => match result {
             Ok(answer) => {
-                attempt::note_overtaken(proxy, call, first, proxy.clock.now().since(begun));
+                attempt::record_hedge_loss(proxy, call, first, proxy.clock.now().since(begun));
                 return Ok(answer);
             }
             Err(outcome) => (outcome, primary.await),
@@ -65,12 +65,12 @@
     proxy: &Proxy,
     call: &Call<'_>,
     tried: &[Upstream],
-    arrivals: u32,
+    reached: u32,
 ) -> Option<Upstream> {
     if call.kind() != Kind::Idempotent {
         return None;
     }
     let second = choose(proxy, call, tried)?;
-    let step = repeat::next_step(proxy, call, retry::TIMED_OUT, tried.len(), arrivals);
+    let step = retries::next_step(proxy, call, retry::TIMED_OUT, tried.len(), reached);
     (step == retry::Step::Retry).then_some(second)
 }
--- a/crates/traffic/src/entry/repeat.rs
+++ b/crates/traffic/src/entry/retries.rs
@@ -12,7 +12,7 @@
 use crate::{call::Call, proxy::Proxy};
 
 /// Counts a call towards the budget for repeats.
-pub(super) fn note_call(proxy: &Proxy, call: &Call<'_>) {
+pub(super) fn record_call(proxy: &Proxy, call: &Call<'_>) {
     let now = proxy.clock.now();
     let budget = proxy.tuning().budget;
     proxy.services.with(call.service, |service| match &budget {
@@ -27,11 +27,11 @@
     call: &Call<'_>,
     outcome: Outcome,
     offers: usize,
-    arrivals: u32,
+    reached: u32,
 ) -> retry::Step {
-    let may_end_upstreams =
+    let may_crash_upstreams =
         matches!(outcome, Outcome::Unknown(_)) && proxy.is_suspected(&call.payload, call.service);
-    if may_end_upstreams {
+    if may_crash_upstreams {
         // A repeat in the next moment would end one more upstream before word of this one arrives.
         return retry::Step::GiveUp;
     }
@@ -44,7 +44,7 @@
     if !retry::may_offer(offers) {
         return retry::Step::GiveUp;
     }
-    let attempt = retry::Attempt { outcome, kind, made: arrivals, limit };
+    let attempt = retry::Attempt { outcome, kind, made: reached, limit };
     let nodes = proxy.fleet_size();
     let now = proxy.clock.now();
     retry::decide_reached(attempt, || {
@@ -53,7 +53,7 @@
 }
 
 /// Returns until when the attempt number `made` may take.
-pub(super) fn patience(proxy: &Proxy, call: &Call<'_>, made: usize) -> Time {
+pub(super) fn deadline(proxy: &Proxy, call: &Call<'_>, made: usize) -> Time {
     let now = proxy.clock.now();
     let remaining = call.deadline.since(now);
     now + retry::attempt_timeout(remaining, call.kind(), made as u32 - 1, call.options.attempts)
@@ -61,7 +61,7 @@
 
 /// Returns how long the first attempt may be silent before a second one is made beside it; none
 /// where the call may run only once.
-pub(super) fn second_delay(proxy: &Proxy, call: &Call<'_>, first: &Upstream) -> Option<Duration> {
+pub(super) fn hedge_delay(proxy: &Proxy, call: &Call<'_>, first: &Upstream) -> Option<Duration> {
     if call.kind() == Kind::Once {
         return None;
     }
@@ -74,6 +74,6 @@
         let record = s.record(first, now);
         (record.slowness(now), record.failure_share(now))
     });
-    let prospect = retry::Hedge { latency, slowness, failure_share, due, remaining };
-    Some(retry::hedge_delay(prospect))
+    let hedge = retry::Hedge { latency, slowness, failure_share, due, remaining };
+    Some(retry::hedge_delay(hedge))
 }
--- a/crates/traffic/src/intake.rs
+++ b/crates/traffic/src/intake.rs
@@ -1,11 +1,11 @@
 //! Takes in requests: calls of callers and offers of other nodes.
 
 mod caller;
-mod open;
 pub(crate) mod pipelining;
 mod ready;
 mod refusal;
 pub(crate) mod server;
+mod span;
 mod upload;
 
 use hyper::{
@@ -23,7 +23,7 @@
 
 /// Who may speak at an address.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Door {
+pub enum Audience {
     /// Callers and other nodes, told apart by the header of an offer.
     #[default]
     All,
@@ -32,7 +32,7 @@
     /// Other nodes only.
     Nodes,
     /// Whoever asks whether this node takes new work.
-    Ready,
+    Probes,
 }
 
 /// Answers a request, of a caller or of another node.
@@ -40,13 +40,13 @@
     proxy: &Arc<Proxy>,
     request: Request<Inbound>,
     origin: Probe,
-    door: Door,
+    audience: Audience,
 ) -> Response<wire::Body> {
     let received = proxy.clock.now();
-    let is_offer = match door {
-        Door::All => request.headers().contains_key(wire::OFFER),
-        Door::Nodes => true,
-        Door::Callers | Door::Ready => false,
+    let is_offer = match audience {
+        Audience::All => request.headers().contains_key(wire::OFFER),
+        Audience::Nodes => true,
+        Audience::Callers | Audience::Probes => false,
     };
     let mut response = if is_offer {
         receiver::answer(proxy, request, origin, received).await
@@ -55,7 +55,8 @@
     };
     // A refused caller comes back on a new connection; keeping the old one open would only fill
     // the table of connections while there are too many callers.
-    let refused = door == Door::Callers && response.status() == StatusCode::SERVICE_UNAVAILABLE;
+    let refused =
+        audience == Audience::Callers && response.status() == StatusCode::SERVICE_UNAVAILABLE;
     if refused
         || proxy.lifecycle.is_leaving()
         || (proxy.lifecycle.was_ready() && !proxy.lifecycle.is_ready())
--- a/crates/traffic/src/intake/caller.rs
+++ b/crates/traffic/src/intake/caller.rs
@@ -14,15 +14,15 @@
     call::{Call, Payload},
     entry,
     intake::{
-        open::Open,
         refusal::{self, Refusal},
+        span::Span,
         upload::{self, Upload},
     },
     net::{body::Inbound, stream::Probe},
     proxy::Proxy,
     record::Trace,
     routing::{
-        returning,
+        client_retry,
         schedule::{self, Schedule},
         target::{self, Target},
     },
@@ -37,23 +37,23 @@
     received: Time,
 ) -> Response<wire::Body> {
     let config = proxy.config();
-    let mut open = Open::new(proxy, &request, received);
+    let mut span = Span::new(proxy, &request, received);
     let mut response = match target::find(proxy, &config, &request) {
         Err(cause) => {
             let (revision, expected) = (config.version.revision, proxy.expected_revision());
-            open.trace.note(&proxy.log, Step::Unrouted { revision, expected });
-            Refusal::of(cause).tell(proxy, "")
+            span.trace.note(&proxy.log, Step::Unrouted { revision, expected });
+            Refusal::of(cause).respond(proxy, "")
         }
         Ok(target) => {
             let service = target.service;
-            let taken = take(proxy, request, target, origin, received, &open.trace).await;
-            let response = taken.unwrap_or_else(|refusal| refusal.tell(proxy, service));
+            let result = admit(proxy, request, target, origin, received, &span.trace).await;
+            let response = result.unwrap_or_else(|refusal| refusal.respond(proxy, service));
             let elapsed = proxy.clock.now().since(received);
             proxy.meter.count_call(service, wire::known_outcome(outcome_of(&response)), elapsed);
             response
         }
     };
-    open.end(&response);
+    span.end(&response);
     response.headers_mut().insert(wire::VERSION, wire::number(config.version.revision));
     response
 }
@@ -63,7 +63,7 @@
 }
 
 /// Lets a call in and carries it to its end, or says why it is not let in.
-async fn take(
+async fn admit(
     proxy: &Arc<Proxy>,
     request: Request<Inbound>,
     target: Target<'_>,
@@ -72,27 +72,27 @@
     trace: &Trace,
 ) -> Result<Response<wire::Body>, Refusal> {
     let (head, incoming) = request.into_parts();
-    let schedule = let_in(proxy, &head, &target, received, trace)?;
-    let left = schedule.deadline.since(received);
-    let upload = upload::receive(proxy, &target, &head.headers, incoming, left).await?;
+    let schedule = check_head(proxy, &head, &target, received, trace)?;
+    let remaining = schedule.deadline.since(received);
+    let upload = upload::receive(proxy, &target, &head.headers, incoming, remaining).await?;
     let Upload { body, guard: _guard, reserved: _reserved } = upload;
     let service = target.service;
-    let call = call(proxy, head, target, &schedule, body, origin, trace);
+    let call = build_call(proxy, head, target, &schedule, body, origin, trace);
     let response = match entry::run(proxy, &call).await {
         Ok(answer) => {
             proxy.running.answered(trace.id());
             answer.response()
         }
         Err(outcome) => {
-            refusal::tell(proxy, service, with_comeback(proxy, outcome, schedule.clock))
+            refusal::respond(proxy, service, with_retry_after(proxy, outcome, schedule.timing))
         }
     };
-    returning::note(proxy, schedule.caller, &response);
+    client_retry::record(proxy, schedule.caller, &response);
     Ok(response)
 }
 
 /// Checks the head of a call and reads its time.
-fn let_in(
+fn check_head(
     proxy: &Proxy,
     head: &Parts,
     target: &Target<'_>,
@@ -107,12 +107,12 @@
     if let Some(due) = schedule.due() {
         trace.set_due(due);
     }
-    note_routed(proxy, target, &schedule, trace);
+    trace_routed(proxy, target, &schedule, trace);
     Ok(schedule)
 }
 
-fn note_routed(proxy: &Proxy, target: &Target<'_>, schedule: &Schedule, trace: &Trace) {
-    let elapsed_ms = schedule.clock.map_or(0, |clock| clock.elapsed.as_millis() as u64);
+fn trace_routed(proxy: &Proxy, target: &Target<'_>, schedule: &Schedule, trace: &Trace) {
+    let elapsed_ms = schedule.timing.map_or(0, |timing| timing.elapsed.as_millis() as u64);
     trace.note(
         &proxy.log,
         Step::Routed {
@@ -128,7 +128,7 @@
 }
 
 /// Returns the call as it is offered to upstreams.
-fn call<'a>(
+fn build_call<'a>(
     proxy: &Proxy,
     head: Parts,
     target: Target<'a>,
@@ -141,8 +141,10 @@
     let mut headers = head.headers;
     wire::strip(&mut headers);
     wire::strip_claims(&mut headers, names);
-    if let (Some(name), Ok(own)) = (&names.caller, HeaderValue::from_str(&proxy.settings.service)) {
-        headers.insert(name.clone(), own);
+    if let (Some(name), Ok(service)) =
+        (&names.caller, HeaderValue::from_str(&proxy.settings.service))
+    {
+        headers.insert(name.clone(), service);
     }
     Call {
         service: target.service,
@@ -160,13 +162,13 @@
 }
 
 /// Replaces the usual time to come back by one that suits the call.
-fn with_comeback(proxy: &Proxy, outcome: Outcome, clock: Option<urgency::Timing>) -> Outcome {
-    match (outcome, clock) {
+fn with_retry_after(proxy: &Proxy, outcome: Outcome, timing: Option<urgency::Timing>) -> Outcome {
+    match (outcome, timing) {
         // Nothing that the caller could wait for comes sooner.
         (Outcome::NotRun(Cause::Quarantined, _), _) => outcome,
-        (Outcome::NotRun(cause, _), Some(clock)) => {
-            let clock = clock.at(proxy.clock.now());
-            Outcome::NotRun(cause, urgency::retry_after(clock, &mut rand::rng()))
+        (Outcome::NotRun(cause, _), Some(timing)) => {
+            let timing = timing.at(proxy.clock.now());
+            Outcome::NotRun(cause, urgency::retry_after(timing, &mut rand::rng()))
         }
         _ => outcome,
     }
--- a/crates/traffic/src/intake/pipelining.rs
+++ b/crates/traffic/src/intake/pipelining.rs
@@ -22,7 +22,7 @@
 use tokio::{select, task::JoinHandle};
 
 use crate::{
-    intake::{self, Door},
+    intake::{self, Audience},
     lock::lock,
     net::{
         body::Inbound,
@@ -35,19 +35,19 @@
 
 /// Most calls of one connection that are taken up so; the others wait for their turn. An answer
 /// that is ready early is held until then.
-const PIPELINED_MOST: usize = 8;
+const MAX_PIPELINED_CALLS: usize = 8;
 
 /// Largest head that is read along, in bytes; `hyper` has a bound of its own.
-const HEAD_MOST: usize = 16 * 1024;
+const MAX_HEAD_BYTES: usize = 16 * 1024;
 
 /// Most bytes that are read before `hyper` asks for them; then the caller has to wait.
-const INBOX_MOST: usize = 4 * HEAD_MOST;
+const MAX_PREFETCHED_BYTES: usize = 4 * MAX_HEAD_BYTES;
 
 /// Bytes read at once while a call is under way: a few heads.
-const READ: usize = 2 * 1024;
+const READ_BYTES: usize = 2 * 1024;
 
 /// Most headers of a request that is read along.
-const HEADERS_MOST: usize = 64;
+const MAX_HEADERS: usize = 64;
 
 /// What was read along on one connection.
 pub(crate) struct Pipeline {
@@ -59,19 +59,19 @@
 #[derive(Default)]
 struct State {
     /// Bytes that were read and that `hyper` has not asked for yet.
-    inbox: BytesMut,
+    prefetched: BytesMut,
     /// Bytes of a head that is not yet whole.
-    bytes: BytesMut,
+    unparsed: BytesMut,
     /// Whether requests can no longer be told apart here.
-    blind: bool,
+    disabled: bool,
     /// Requests whose heads were read along.
-    read: u64,
+    parsed: u64,
     /// Requests that `hyper` has handed over.
-    taken: u64,
+    delivered: u64,
     /// Requests that are answered.
     answered: u64,
     /// Calls that were taken up, by the number of their request.
-    begun: VecDeque<(u64, Task)>,
+    started: VecDeque<(u64, Task)>,
 }
 
 /// A call that is under way; dropping it cancels it.
@@ -92,7 +92,8 @@
     /// `request` itself.
     pub(crate) async fn answer(&self, request: Request<Inbound>) -> Response<wire::Body> {
         let has_body = !request.body().is_end_stream();
-        let response = if has_body { self.run(request).await } else { self.attend(request).await };
+        let response =
+            if has_body { self.run(request).await } else { self.run_and_prefetch(request).await };
         self.lock().answered += 1;
         response
     }
@@ -101,55 +102,55 @@
     ///
     /// Not one with a body: its last bytes could be read here in the moment in which `hyper` waits
     /// for them at the socket; nothing would wake it, and the upload would hang until its deadline.
-    async fn attend(&self, request: Request<Inbound>) -> Response<wire::Body> {
+    async fn run_and_prefetch(&self, request: Request<Inbound>) -> Response<wire::Body> {
         select! {
             biased;
             response = self.run(request) => response,
-            () = self.read_on() => wire::response(Cause::Cancelled.outcome(), Precision::Seconds),
+            () = self.prefetch() => wire::response(Cause::Cancelled.outcome(), Precision::Seconds),
         }
     }
 
     async fn run(&self, request: Request<Inbound>) -> Response<wire::Body> {
-        if let Some(mut task) = self.take()
+        if let Some(mut task) = self.take_started()
             && let Ok(response) = (&mut task.0).await
         {
             return response;
         }
-        intake::handle(&self.proxy, request, self.probe.clone(), Door::Callers).await
+        intake::handle(&self.proxy, request, self.probe.clone(), Audience::Callers).await
     }
 
     /// Reads what comes while a call is under way, until the caller closes the connection.
-    async fn read_on(&self) {
-        let mut chunk = [0; READ];
-        while self.lock().inbox.len() < INBOX_MOST {
+    async fn prefetch(&self) {
+        let mut chunk = [0; READ_BYTES];
+        while self.lock().prefetched.len() < MAX_PREFETCHED_BYTES {
             let Some(count) = self.probe.read(&mut chunk).await else { return };
             self.observe(&chunk[..count]);
-            self.lock().inbox.extend_from_slice(&chunk[..count]);
+            self.lock().prefetched.extend_from_slice(&chunk[..count]);
         }
         std::future::pending().await
     }
 
     /// Returns the call of the next request, if it was taken up.
-    fn take(&self) -> Option<Task> {
+    fn take_started(&self) -> Option<Task> {
         let mut state = self.lock();
-        let number = state.taken;
-        state.taken += 1;
-        let (first, _) = state.begun.front()?;
+        let number = state.delivered;
+        state.delivered += 1;
+        let (first, _) = state.started.front()?;
         if *first != number {
             return None;
         }
-        state.begun.pop_front().map(|(_, task)| task)
+        state.started.pop_front().map(|(_, task)| task)
     }
 
     /// Takes up the call with this head, if it may be repeated.
-    fn begin(&self, head: &[u8]) -> Option<Task> {
-        let request = request(head)?;
-        if !target::may_repeat(&self.proxy.config(), &request) {
+    fn start(&self, head: &[u8]) -> Option<Task> {
+        let request = parse_request(head)?;
+        if !target::is_idempotent(&self.proxy.config(), &request) {
             return None;
         }
         let (proxy, probe) = (self.proxy.clone(), self.probe.clone());
         Some(Task(tokio::spawn(async move {
-            intake::handle(&proxy, request, probe, Door::Callers).await
+            intake::handle(&proxy, request, probe, Audience::Callers).await
         })))
     }
 
@@ -161,77 +162,77 @@
 impl Tap for Pipeline {
     fn observe(&self, bytes: &[u8]) {
         let mut state = self.lock();
-        if state.blind {
+        if state.disabled {
             return;
         }
-        state.bytes.extend_from_slice(bytes);
+        state.unparsed.extend_from_slice(bytes);
         while let Some(head) = next_head(&mut state) {
-            let number = state.read;
-            state.read += 1;
+            let number = state.parsed;
+            state.parsed += 1;
             let is_behind = number > state.answered;
             if is_behind
-                && state.begun.len() < PIPELINED_MOST
-                && let Some(task) = self.begin(&head)
+                && state.started.len() < MAX_PIPELINED_CALLS
+                && let Some(task) = self.start(&head)
             {
-                state.begun.push_back((number, task));
+                state.started.push_back((number, task));
             }
         }
     }
 
-    fn take_prefetched(&self, room: usize) -> Option<BytesMut> {
+    fn take_prefetched(&self, capacity: usize) -> Option<BytesMut> {
         let mut state = self.lock();
-        let length = state.inbox.len().min(room);
-        (length > 0).then(|| state.inbox.split_to(length))
+        let length = state.prefetched.len().min(capacity);
+        (length > 0).then(|| state.prefetched.split_to(length))
     }
 }
 
 /// Takes the next whole head of a request without a body off the bytes read along.
 fn next_head(state: &mut State) -> Option<BytesMut> {
-    if state.blind || state.bytes.is_empty() {
+    if state.disabled || state.unparsed.is_empty() {
         return None;
     }
-    match measure(&state.bytes) {
-        Found::Plain(length) => return Some(state.bytes.split_to(length)),
-        Found::Part if state.bytes.len() < HEAD_MOST => return None,
-        Found::Part | Found::Other => {}
+    match classify(&state.unparsed) {
+        Prefix::Bodyless(length) => return Some(state.unparsed.split_to(length)),
+        Prefix::Partial if state.unparsed.len() < MAX_HEAD_BYTES => return None,
+        Prefix::Partial | Prefix::Other => {}
     }
-    state.blind = true;
-    state.bytes = BytesMut::new();
+    state.disabled = true;
+    state.unparsed = BytesMut::new();
     None
 }
 
 /// What the bytes of a connection begin with.
-enum Found {
+enum Prefix {
     /// The head of a request without a body, of this length.
-    Plain(usize),
+    Bodyless(usize),
     /// A part of a head.
-    Part,
+    Partial,
     /// Anything else.
     Other,
 }
 
 /// Headers of requests behind which the next one does not begin at once.
-const SPECIAL: [header::HeaderName; 4] =
+const FRAMING_HEADERS: [header::HeaderName; 4] =
     [header::CONTENT_LENGTH, header::TRANSFER_ENCODING, header::EXPECT, header::UPGRADE];
 
-fn measure(bytes: &[u8]) -> Found {
-    let mut headers = [EMPTY_HEADER; HEADERS_MOST];
+fn classify(bytes: &[u8]) -> Prefix {
+    let mut headers = [EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
     let length = match head.parse(bytes) {
         Ok(Status::Complete(length)) => length,
-        Ok(Status::Partial) => return Found::Part,
-        Err(_) => return Found::Other,
+        Ok(Status::Partial) => return Prefix::Partial,
+        Err(_) => return Prefix::Other,
     };
-    let is_special =
-        |name: &str| SPECIAL.iter().any(|special| name.eq_ignore_ascii_case(special.as_str()));
-    let has_body = head.headers.iter().any(|header| is_special(header.name));
-    let is_plain = matches!(head.method, Some("GET" | "HEAD")) && !has_body;
-    if is_plain { Found::Plain(length) } else { Found::Other }
+    let is_framing =
+        |name: &str| FRAMING_HEADERS.iter().any(|h| name.eq_ignore_ascii_case(h.as_str()));
+    let has_body = head.headers.iter().any(|header| is_framing(header.name));
+    let is_bodyless = matches!(head.method, Some("GET" | "HEAD")) && !has_body;
+    if is_bodyless { Prefix::Bodyless(length) } else { Prefix::Other }
 }
 
 /// Returns the request with this head as `hyper` would; none where that would refuse it.
-fn request(bytes: &[u8]) -> Option<Request<Inbound>> {
-    let mut headers = [EMPTY_HEADER; HEADERS_MOST];
+fn parse_request(bytes: &[u8]) -> Option<Request<Inbound>> {
+    let mut headers = [EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
     head.parse(bytes).ok()?;
     let mut request = Request::new(Either::Right(Empty::<Bytes>::new()));
--- a/crates/traffic/src/intake/refusal.rs
+++ b/crates/traffic/src/intake/refusal.rs
@@ -25,8 +25,8 @@
     }
 
     /// Tells the caller of a call to `service`, and counts it.
-    pub(super) fn tell(self, proxy: &Proxy, service: &str) -> Response<wire::Body> {
-        let mut response = tell(proxy, service, self.cause.outcome());
+    pub(super) fn respond(self, proxy: &Proxy, service: &str) -> Response<wire::Body> {
+        let mut response = respond(proxy, service, self.cause.outcome());
         if let Some(status) = self.status {
             *response.status_mut() = status;
         }
@@ -35,7 +35,7 @@
 }
 
 /// Tells the caller an outcome without an answer, and counts it.
-pub(super) fn tell(proxy: &Proxy, service: &str, outcome: Outcome) -> Response<wire::Body> {
+pub(super) fn respond(proxy: &Proxy, service: &str, outcome: Outcome) -> Response<wire::Body> {
     match outcome {
         Outcome::NotRun(cause, _) => {
             proxy.meter.count_not_run(service, cause.name());
--- a/crates/traffic/src/intake/server.rs
+++ b/crates/traffic/src/intake/server.rs
@@ -12,7 +12,7 @@
 };
 
 use crate::{
-    intake::{self, Door, pipelining::Pipeline, ready},
+    intake::{self, Audience, pipelining::Pipeline, ready},
     net::stream::Stream,
     proxy::Proxy,
 };
@@ -24,10 +24,10 @@
 const HEAD_TIMEOUT: Duration = Duration::from_secs(75);
 
 /// Time for the other side of a connection to read the last answer and to end its side.
-const LINGER: Duration = Duration::from_secs(1);
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Pause after a failure to accept, such as too many open files.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
 /// Failure to listen for calls.
 #[derive(Debug, Snafu)]
@@ -41,19 +41,19 @@
 #[derive(Debug)]
 pub struct Listener {
     socket: TcpListener,
-    door: Door,
+    audience: Audience,
 }
 
 impl Listener {
     /// Listens at `address` for callers and other nodes.
     pub async fn bind(address: SocketAddr) -> Result<Self, Error> {
-        Listener::bind_door(address, Door::All).await
+        Listener::bind_for(address, Audience::All).await
     }
 
-    /// Listens at `address` for those that `door` admits.
-    pub async fn bind_door(address: SocketAddr, door: Door) -> Result<Self, Error> {
+    /// Listens at `address` for those that `audience` admits.
+    pub async fn bind_for(address: SocketAddr, audience: Audience) -> Result<Self, Error> {
         let socket = TcpListener::bind(address).await.context(Snafu { address })?;
-        Ok(Listener { socket, door })
+        Ok(Listener { socket, audience })
     }
 
     /// Returns the address listened at.
@@ -63,15 +63,15 @@
 
     /// Serves connections for ever.
     pub async fn serve(self, proxy: Arc<Proxy>) {
-        let room = Arc::new(Semaphore::new(proxy.settings.max_connections));
+        let connections = Arc::new(Semaphore::new(proxy.settings.max_connections));
         loop {
             // Beyond the bound, connections wait in the system's backlog and cost no memory here.
-            let Ok(permit) = room.clone().acquire_owned().await else { return };
+            let Ok(permit) = connections.clone().acquire_owned().await else { return };
             match self.socket.accept().await {
                 Ok((socket, _)) => {
-                    tokio::spawn(serve_connection(proxy.clone(), self.door, socket, permit));
+                    tokio::spawn(serve_connection(proxy.clone(), self.audience, socket, permit));
                 }
-                Err(_) => sleep(ACCEPT_PAUSE).await,
+                Err(_) => sleep(ACCEPT_BACKOFF).await,
             }
         }
     }
@@ -79,24 +79,26 @@
 
 async fn serve_connection(
     proxy: Arc<Proxy>,
-    door: Door,
+    audience: Audience,
     socket: tokio::net::TcpStream,
     _permit: OwnedSemaphorePermit,
 ) {
     let Ok(mut stream) = Stream::new(socket) else { return };
     let probe = stream.probe();
     let pipeline = Pipeline::new(proxy.clone(), probe.clone());
-    if door == Door::Callers {
+    if audience == Audience::Callers {
         stream.set_tap(pipeline.clone());
     }
     let service = service_fn(|request: Request<Incoming>| {
         let (proxy, probe, pipeline) = (proxy.clone(), probe.clone(), pipeline.clone());
         let request = request.map(Either::Left);
         async move {
-            Ok::<_, Infallible>(match door {
-                Door::Ready => ready::answer(&proxy),
-                Door::Callers => pipeline.answer(request).await,
-                Door::All | Door::Nodes => intake::handle(&proxy, request, probe, door).await,
+            Ok::<_, Infallible>(match audience {
+                Audience::Probes => ready::answer(&proxy),
+                Audience::Callers => pipeline.answer(request).await,
+                Audience::All | Audience::Nodes => {
+                    intake::handle(&proxy, request, probe, audience).await
+                }
             })
         }
     });
@@ -118,6 +120,6 @@
     let read = async { while stream.discard().await {} };
     if stream.shutdown().is_ok() {
         // What is still open by then is closed all the same.
-        let _ = timeout(LINGER, read).await;
+        let _ = timeout(LINGER_TIMEOUT, read).await;
     }
 }
--- a/crates/traffic/src/intake/open.rs
+++ b/crates/traffic/src/intake/span.rs
@@ -12,17 +12,17 @@
 };
 
 /// A caller's request until it is answered, or until the caller goes away and it is dropped.
-pub(crate) struct Open<'a> {
+pub(crate) struct Span<'a> {
     proxy: &'a Proxy,
     received: Time,
     pub(crate) trace: Trace,
     ended: bool,
 }
 
-impl<'a> Open<'a> {
+impl<'a> Span<'a> {
     pub(crate) fn new(proxy: &'a Proxy, request: &Request<Inbound>, received: Time) -> Self {
         let trace = Trace::new(request_id(proxy, request));
-        Open { proxy, received, trace, ended: false }
+        Span { proxy, received, trace, ended: false }
     }
 
     /// Notes the answer.
@@ -43,8 +43,8 @@
             },
         );
         let is_late = self.trace.is_late(self.proxy.clock.now());
-        let went_well = outcome == wire::ANSWERED && !status.is_server_error() && !is_late;
-        let interest = if went_well { Interest::Usual } else { Interest::Notable };
+        let succeeded = outcome == wire::ANSWERED && !status.is_server_error() && !is_late;
+        let interest = if succeeded { Interest::Usual } else { Interest::Notable };
         self.trace.write(&self.proxy.log, interest);
     }
 
@@ -53,7 +53,7 @@
     }
 }
 
-impl Drop for Open<'_> {
+impl Drop for Span<'_> {
     fn drop(&mut self) {
         if !self.ended {
             self.trace.note(&self.proxy.log, Step::Abandoned { ms: self.elapsed_ms() });
--- a/crates/traffic/src/intake/upload.rs
+++ b/crates/traffic/src/intake/upload.rs
@@ -22,13 +22,13 @@
     pub(super) reserved: Reservation<'a>,
 }
 
-/// Receives a body within the time that is `left` for its call.
+/// Receives a body within the time that is `remaining` for its call.
 pub(super) async fn receive<'a>(
     proxy: &'a Proxy,
     target: &Target<'a>,
     headers: &HeaderMap,
     incoming: Inbound,
-    left: Duration,
+    remaining: Duration,
 ) -> Result<Upload<'a>, Refusal> {
     let guard =
         CallGuard::take(&proxy.in_flight, &proxy.services, target.service, proxy.tuning().capacity)
@@ -41,8 +41,8 @@
     if !reserved.extend(declared, proxy.tuning().capacity) {
         return Err(Refusal::of(Cause::Saturated));
     }
-    let time = Duration::from_millis(target.profile.upload_ms).min(left);
-    let body = body::receive(incoming, target.body_limit, time).await;
+    let timeout = Duration::from_millis(target.profile.upload_ms).min(remaining);
+    let body = body::receive(incoming, target.body_limit, timeout).await;
     let body = body.map_err(|fault| Refusal::bad_request(status_of(fault)))?;
     if !reserved.extend(body.len().saturating_sub(declared), proxy.tuning().capacity) {
         return Err(Refusal::of(Cause::Saturated));
--- a/crates/traffic/src/lib.rs
+++ b/crates/traffic/src/lib.rs
@@ -23,7 +23,7 @@
 pub use crate::{
     clock::Clock,
     intake::{
-        Door,
+        Audience,
         server::{Error, Listener},
     },
     proxy::{
--- a/crates/traffic/src/routing/returning.rs
+++ b/crates/traffic/src/routing/client_retry.rs
@@ -18,9 +18,9 @@
     /// Which of its attempts this is.
     pub(crate) attempt: Attempt,
     /// When its first attempt arrived.
-    pub(crate) begun: Time,
+    pub(crate) first_received: Time,
     /// When its time is over.
-    until: Time,
+    deadline: Time,
 }
 
 /// Returns whose attempt a request is that arrived at `received`, with `remaining` left to its
@@ -34,21 +34,23 @@
     remaining: Duration,
 ) -> Caller {
     let fingerprint = fingerprint(method, target, headers);
-    let (attempt, begun) = proxy.with_refused(|refused| refused.take(fingerprint, received));
-    Caller { fingerprint, attempt, begun, until: received + remaining }
+    let (attempt, first_received) =
+        proxy.with_refused(|refused| refused.take(fingerprint, received));
+    Caller { fingerprint, attempt, first_received, deadline: received + remaining }
 }
 
 /// Notes a caller who was told something after which it may ask again.
-pub(crate) fn note(proxy: &Proxy, caller: Caller, response: &Response<wire::Body>) {
+pub(crate) fn record(proxy: &Proxy, caller: Caller, response: &Response<wire::Body>) {
     if !response.status().is_server_error() {
         return;
     }
-    let asked = header_text(response.headers(), wire::RETRY_AFTER_MS);
-    let after =
-        asked.and_then(|text| text.parse().ok()).map_or(Duration::ZERO, Duration::from_millis);
+    let retry_after = header_text(response.headers(), wire::RETRY_AFTER_MS);
+    let delay = retry_after
+        .and_then(|text| text.parse().ok())
+        .map_or(Duration::ZERO, Duration::from_millis);
     let now = proxy.clock.now();
-    let Caller { fingerprint, begun, until, .. } = caller;
-    proxy.with_refused(|refused| refused.record(fingerprint, begun, now, after, until));
+    let Caller { fingerprint, first_received, deadline, .. } = caller;
+    proxy.with_refused(|refused| refused.record(fingerprint, first_received, now, delay, deadline));
 }
 
 fn fingerprint(method: &Method, target: &Uri, headers: &HeaderMap) -> Fingerprint {
--- a/crates/traffic/src/routing/schedule.rs
+++ b/crates/traffic/src/routing/schedule.rs
@@ -8,7 +8,7 @@
 use crate::{
     proxy::Proxy,
     routing::{
-        returning::{self, Caller},
+        client_retry::{self, Caller},
         target::Target,
     },
     wire,
@@ -20,7 +20,7 @@
     pub(crate) deadline: Time,
     pub(crate) caller: Caller,
     /// What is known of its time, if its route names an objective.
-    pub(crate) clock: Option<urgency::Timing>,
+    pub(crate) timing: Option<urgency::Timing>,
     /// Who makes it.
     pub(crate) origin: urgency::Origin,
     pub(crate) rank: Rank,
@@ -29,12 +29,12 @@
 impl Schedule {
     /// Returns when an answer becomes late, if the route names an objective.
     pub(crate) fn due(&self) -> Option<Time> {
-        self.clock.map(|clock| clock.due())
+        self.timing.map(|timing| timing.due())
     }
 
     /// Returns by when a large body must begin to cross, if the route names an objective.
     pub(crate) fn transfer_by(&self) -> Option<Time> {
-        self.clock.map(transfer::start_by)
+        self.timing.map(transfer::start_by)
     }
 }
 
@@ -48,18 +48,25 @@
 ) -> Result<Schedule, wire::Malformed> {
     let remaining = wire::read_number(&head.headers, proxy.settings.names.deadline.clone())?;
     let deadline = claim::deadline(received, remaining, target.options.timeout_ms);
-    let left = remaining.map_or(deadline.since(received), Duration::from_millis);
-    let caller = returning::identify(proxy, &head.method, &head.uri, &head.headers, received, left);
-    let clock = clock(proxy, target, caller, received, deadline);
-    let work = proxy.running.parent_of(id);
-    let origin = work.map_or(urgency::Origin::Caller, urgency::Origin::Upstream);
-    let rank = clock
-        .map_or_else(Rank::default, |clock| urgency::rank(origin, target.options.priority, clock));
-    Ok(Schedule { received, deadline, caller, clock, origin, rank })
+    let caller_remaining = remaining.map_or(deadline.since(received), Duration::from_millis);
+    let caller = client_retry::identify(
+        proxy,
+        &head.method,
+        &head.uri,
+        &head.headers,
+        received,
+        caller_remaining,
+    );
+    let timing = timing(proxy, target, caller, received, deadline);
+    let parent = proxy.running.parent_of(id);
+    let origin = parent.map_or(urgency::Origin::Caller, urgency::Origin::Upstream);
+    let rank =
+        timing.map_or_else(Rank::default, |t| urgency::rank(origin, target.options.priority, t));
+    Ok(Schedule { received, deadline, caller, timing, origin, rank })
 }
 
 /// Returns what is known of the time of a call whose route names an objective.
-fn clock(
+fn timing(
     proxy: &Proxy,
     target: &Target<'_>,
     caller: Caller,
@@ -72,7 +79,7 @@
         received,
         deadline,
         attempt: caller.attempt,
-        elapsed: received.since(caller.begun),
+        elapsed: received.since(caller.first_received),
         objective,
         expected: urgency::expected_time(latency, objective),
     })
--- a/crates/traffic/src/routing/target.rs
+++ b/crates/traffic/src/routing/target.rs
@@ -31,7 +31,7 @@
     } else {
         find_service(config, request)
     };
-    found.ok_or_else(|| unknown(proxy, config))
+    found.ok_or_else(|| unknown_cause(proxy, config))
 }
 
 /// Returns why a call that leads nowhere is refused.
@@ -39,7 +39,7 @@
 /// A caller takes "unknown" for final. While another node holds a newer configuration, which this one
 /// still lacks, it cannot know: what was added there is to be asked for again in a moment. Otherwise
 /// callers of new routes would be turned away for good, wherever a change comes late.
-fn unknown(proxy: &Proxy, config: &Snapshot) -> Cause {
+fn unknown_cause(proxy: &Proxy, config: &Snapshot) -> Cause {
     if proxy.expected_revision() > config.version.revision {
         Cause::Outdated
     } else {
@@ -73,7 +73,7 @@
 }
 
 /// Tells whether a request may run more than once, as far as routes say.
-pub(crate) fn may_repeat(config: &Snapshot, request: &Request<Inbound>) -> bool {
+pub(crate) fn is_idempotent(config: &Snapshot, request: &Request<Inbound>) -> bool {
     let route = config.route(&wire::host(request.headers()), request.uri().path());
     route.is_some_and(|route| route.spec.kind == route::Kind::Idempotent)
 }
@@ -85,8 +85,8 @@
 ) -> Option<Target<'a>> {
     let route = config.route(&wire::host(request.headers()), request.uri().path())?;
     let weights: Vec<u32> = route.targets.iter().map(|t| t.weight).collect();
-    let part = proxy.next_part(&route.name, &weights)?;
-    let service = config.target(route.targets[part].service);
+    let index = proxy.next_part(&route.name, &weights)?;
+    let service = config.target(route.targets[index].service);
     let idempotent = route.spec.kind == route::Kind::Idempotent;
     let options = Options {
         kind: if idempotent { Kind::Idempotent } else { Kind::Once },
@@ -123,8 +123,8 @@
     if let Some(name) = header_text(request.headers(), wire::SERVICE) {
         return Some((name.to_owned(), request.uri().clone()));
     }
-    let whole = request.uri().path_and_query().map_or("/", PathAndQuery::as_str);
-    let rest = whole.strip_prefix('/')?;
+    let path_and_query = request.uri().path_and_query().map_or("/", PathAndQuery::as_str);
+    let rest = path_and_query.strip_prefix('/')?;
     let end = rest.find(['/', '?']).unwrap_or(rest.len());
     let (name, path) = rest.split_at(end);
     let path = if path.starts_with('/') { path.to_owned() } else { format!("/{path}") };
--- a/crates/traffic/src/serving.rs
+++ b/crates/traffic/src/serving.rs
@@ -15,7 +15,7 @@
     net::{pool::Connection, stream::SocketState},
     proxy::{Proxy, in_flight::OfferGuard},
     record::{Interest, Trace},
-    upstream::{self, Sent, end},
+    upstream::{self, Failure, crash},
     wire,
 };
 
@@ -29,7 +29,7 @@
     let result = attempt(proxy, profile, &offer, &trace).await;
     if let Err(Outcome::NotRun(cause, _)) = result {
         proxy.meter.count_refusal(cause.name());
-        note_claim(proxy, &offer, &trace, cause.name());
+        trace_claim(proxy, &offer, &trace, cause.name());
     }
     let interest = match &result {
         Ok(answer) if !answer.head.status().is_server_error() => Interest::Usual,
@@ -52,44 +52,44 @@
     offer: &Offer,
     trace: &Trace,
 ) -> Result<Answer, Outcome> {
-    let _in_hand = OfferGuard::new(&proxy.in_flight);
+    let _guard = OfferGuard::new(&proxy.in_flight);
     check_claim(proxy, offer)?;
     proxy.refresh_warm_up();
     let mut slot = proxy.slots.acquire(offer.rank, offer.deadline, profile.queue_limit).await?;
-    let kept = proxy.pool.take(proxy.settings.upstream, idle_limit(profile), offer.kind);
-    let was_kept = kept.is_some();
-    let connection = match kept {
+    let idle = proxy.pool.take(proxy.settings.upstream, idle_timeout(profile), offer.kind);
+    let was_reused = idle.is_some();
+    let connection = match idle {
         Some(connection) => connection,
         None => upstream::dial(proxy, offer).await?,
     };
-    note_claim(proxy, offer, trace, "run");
+    trace_claim(proxy, offer, trace, "run");
     let _running = proxy.running.begin(trace.id(), offer.rank);
-    let run = end::Run::begin(proxy, offer);
-    let result = send_noted(proxy, profile, offer, trace, connection, &mut slot).await;
+    let run = crash::Run::begin(proxy, offer);
+    let result = send_once(proxy, profile, offer, trace, connection, &mut slot).await;
     let result = match result {
         // The upstream closed the kept connection in this moment; nothing was written on it.
-        Err(Sent::Not) if was_kept => match upstream::dial(proxy, offer).await {
-            Ok(connection) => send_noted(proxy, profile, offer, trace, connection, &mut slot).await,
-            Err(outcome) => Err(Sent::Lost(outcome)),
+        Err(Failure::Unsent) if was_reused => match upstream::dial(proxy, offer).await {
+            Ok(connection) => send_once(proxy, profile, offer, trace, connection, &mut slot).await,
+            Err(outcome) => Err(Failure::Final(outcome)),
         },
         result => result,
     };
     run.end(&result);
-    result.map_err(Sent::outcome)
+    result.map_err(Failure::outcome)
 }
 
 /// Claims the call and sends it, and notes how that ended.
-async fn send_noted(
+async fn send_once(
     proxy: &Proxy,
     profile: &Profile,
     offer: &Offer,
     trace: &Trace,
     connection: Connection,
     slot: &mut Permit,
-) -> Result<Answer, Sent> {
+) -> Result<Answer, Failure> {
     let begun = proxy.clock.now();
     let result = send(proxy, profile, offer, connection, slot).await;
-    note_run(proxy, offer, trace, &result, proxy.clock.now().since(begun));
+    trace_run(proxy, offer, trace, &result, proxy.clock.now().since(begun));
     result
 }
 
@@ -100,16 +100,16 @@
     offer: &Offer,
     connection: Connection,
     slot: &mut Permit,
-) -> Result<Answer, Sent> {
+) -> Result<Answer, Failure> {
     let request = upstream::request(proxy, offer);
     if let Err(outcome) = check_claim(proxy, offer) {
         proxy.pool.put(proxy.settings.upstream, connection);
-        return Err(Sent::Lost(outcome));
+        return Err(Failure::Final(outcome));
     }
     upstream::exchange(proxy, profile, offer, connection, request, slot).await
 }
 
-fn note_claim(proxy: &Proxy, offer: &Offer, trace: &Trace, decision: &str) {
+fn trace_claim(proxy: &Proxy, offer: &Offer, trace: &Trace, decision: &str) {
     let load = proxy.slots.load();
     let now = proxy.clock.now();
     trace.note(
@@ -126,19 +126,19 @@
     );
 }
 
-fn note_run(
+fn trace_run(
     proxy: &Proxy,
     offer: &Offer,
     trace: &Trace,
-    result: &Result<Answer, Sent>,
-    span: Duration,
+    result: &Result<Answer, Failure>,
+    elapsed: Duration,
 ) {
     let (outcome, status) = match result {
         Ok(answer) => (wire::ANSWERED, answer.head.status().as_u16()),
-        Err(Sent::Lost(outcome)) => (outcome.reason(), 0),
-        Err(Sent::Not) => return,
+        Err(Failure::Final(outcome)) => (outcome.reason(), 0),
+        Err(Failure::Unsent) => return,
     };
-    let ms = span.as_millis() as u64;
+    let ms = elapsed.as_millis() as u64;
     let step = trace::Step::Ran { attempt: offer.id, outcome: outcome.to_owned(), status, ms };
     trace.note(&proxy.log, step);
 }
@@ -163,24 +163,27 @@
 fn check_claim(proxy: &Proxy, offer: &Offer) -> Result<(), Outcome> {
     let now = proxy.clock.now();
     let quarantined = proxy.quarantined(&offer.payload, &proxy.settings.service);
-    let facts = claim::Conditions {
+    let conditions = claim::Conditions {
         now,
         deadline: offer.deadline,
         paused: proxy.may_be_stale(offer.received, now),
         connected: offer.origin.socket_state() != SocketState::Closed,
         leaving: proxy.lifecycle.is_leaving() || proxy.has_left(offer.identity.as_deref()),
-        current_incarnation: proxy.settings.incarnation.is_none_or(|own| own == offer.incarnation)
+        current_incarnation: proxy
+            .settings
+            .incarnation
+            .is_none_or(|incarnation| incarnation == offer.incarnation)
             && !proxy.has_restarted(offer.identity.as_deref(), offer.started_ms),
         evacuated: proxy.is_evacuated(),
         quarantined: quarantined.is_some(),
     };
-    match (claim::refusal(facts), quarantined) {
+    match (claim::refusal(conditions), quarantined) {
         (None, _) => Ok(()),
         (Some(Cause::Quarantined), Some(outcome)) => Err(outcome),
         (Some(cause), _) => Err(cause.outcome()),
     }
 }
 
-fn idle_limit(profile: &Profile) -> Duration {
+fn idle_timeout(profile: &Profile) -> Duration {
     Duration::from_millis(profile.idle_ms)
 }
--- a/crates/traffic/src/upstream.rs
+++ b/crates/traffic/src/upstream.rs
@@ -1,7 +1,7 @@
 //! One exchange with the own upstream.
 
-pub(crate) mod end;
-mod proof;
+pub(crate) mod crash;
+mod validation;
 
 use hyper::{Request, Response, header::HeaderValue};
 use model::profile::Profile;
@@ -17,24 +17,24 @@
         pool::{ConnectError, Connection, SendError},
     },
     proxy::Proxy,
-    upstream::proof::{belongs, is_authentic, refusal},
+    upstream::validation::{is_authentic, matches_request, refusal_cause},
     wire,
 };
 
 /// How sending a call to the upstream failed.
-pub(crate) enum Sent {
+pub(crate) enum Failure {
     /// Nothing was written.
-    Not,
+    Unsent,
     /// As told.
-    Lost(Outcome),
+    Final(Outcome),
 }
 
-impl Sent {
+impl Failure {
     /// Returns the outcome of a call that is not sent again.
     pub(crate) fn outcome(self) -> Outcome {
         match self {
-            Sent::Not => of_loss(Step::Dial, Loss::Closed),
-            Sent::Lost(outcome) => outcome,
+            Failure::Unsent => of_loss(Step::Dial, Loss::Closed),
+            Failure::Final(outcome) => outcome,
         }
     }
 }
@@ -42,15 +42,15 @@
 /// Opens a connection to the upstream.
 pub(crate) async fn dial(proxy: &Arc<Proxy>, offer: &Offer) -> Result<Connection, Outcome> {
     let remaining = offer.deadline.since(proxy.clock.now());
-    let time = proxy.tuning().connect_timeout.min(remaining);
-    let opened = proxy.pool.open(proxy.settings.upstream, time).await;
+    let limit = proxy.tuning().connect_timeout.min(remaining);
+    let opened = proxy.pool.open(proxy.settings.upstream, limit).await;
     if opened.is_ok() {
         proxy.crashes.mark_alive();
     }
-    opened.map_err(|unopened| {
+    opened.map_err(|error| {
         // All callers of a process may have left before it ended; only the next call notices the end.
-        if unopened == ConnectError::Refused && proxy.crashes.has_recent_loss(proxy.clock.now()) {
-            end::look(proxy);
+        if error == ConnectError::Refused && proxy.crashes.has_recent_loss(proxy.clock.now()) {
+            crash::probe(proxy);
         }
         of_loss(Step::Dial, Loss::Closed)
     })
@@ -82,22 +82,22 @@
     mut connection: Connection,
     request: Request<wire::Body>,
     slot: &mut Permit,
-) -> Result<Answer, Sent> {
+) -> Result<Answer, Failure> {
     let begun = proxy.clock.now();
     let remaining = offer.deadline.since(begun);
     let exchange = async {
         let head = match connection.send(request).await {
             Ok(head) => head,
-            Err(SendError::Unsent) => return Err(Sent::Not),
-            Err(SendError::Broken) => return Err(Sent::Lost(of_loss(Step::Run, Loss::Closed))),
+            Err(SendError::Unsent) => return Err(Failure::Unsent),
+            Err(SendError::Broken) => return Err(Failure::Final(of_loss(Step::Run, Loss::Closed))),
         };
-        receive(proxy, profile, offer, head, remaining).await.map_err(Sent::Lost)
+        receive(proxy, profile, offer, head, remaining).await.map_err(Failure::Final)
     };
     let result = timeout(remaining, exchange).await;
     slot.service_time = Some(proxy.clock.now().since(begun));
     let Ok(result) = result else {
         proxy.pool.close_idle(proxy.settings.upstream);
-        return Err(Sent::Lost(of_loss(Step::Run, Loss::Timeout)));
+        return Err(Failure::Final(of_loss(Step::Run, Loss::Timeout)));
     };
     let answer = result?;
     let rejected_early = !answer.head.status().is_success() && !offer.payload.body.is_empty();
@@ -106,11 +106,11 @@
         // the next request on the connection would be taken for the rest.
         proxy.pool.put(proxy.settings.upstream, connection);
     }
-    if let Some(cause) = refusal(proxy, &answer.head) {
-        return Err(Sent::Lost(of_loss(Step::Run, Loss::Refusal(cause))));
+    if let Some(cause) = refusal_cause(proxy, &answer.head) {
+        return Err(Failure::Final(of_loss(Step::Run, Loss::Refusal(cause))));
     }
     if Some(answer.head.status().as_u16()) == profile.refused_status {
-        return Err(Sent::Lost(of_loss(Step::Run, Loss::Refusal(Cause::Refused))));
+        return Err(Failure::Final(of_loss(Step::Run, Loss::Refusal(Cause::Refused))));
     }
     Ok(answer)
 }
@@ -123,7 +123,7 @@
     head: Response<hyper::body::Incoming>,
     time: Duration,
 ) -> Result<Answer, Outcome> {
-    if !belongs(proxy, offer, &head) || !is_authentic(proxy, &head) {
+    if !matches_request(proxy, offer, &head) || !is_authentic(proxy, &head) {
         return Err(Outcome::Unknown(Doubt::BadAnswer));
     }
     let (parts, incoming) = head.into_parts();
--- a/crates/traffic/src/upstream/end.rs
+++ b/crates/traffic/src/upstream/crash.rs
@@ -12,20 +12,20 @@
     call::{Answer, Offer},
     net::pool::ConnectError,
     proxy::Proxy,
-    upstream::Sent,
+    upstream::Failure,
 };
 
 /// Time between two questions whether anybody listens at the upstream's address, and before the first.
 ///
 /// All calls of a process that ends are broken within a few milliseconds.
-const PAUSE: Duration = Duration::from_millis(20);
+const PROBE_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Refusals that show that nobody listens. A listener that is full may refuse one connection, hardly two in a
 /// row.
-const REFUSALS: usize = 2;
+const REFUSALS_TO_CONFIRM: usize = 2;
 
 /// Most questions; on a busy instance a refusal may come later than a connection is waited for.
-const QUESTIONS_MOST: usize = 6;
+const MAX_PROBES: usize = 6;
 
 /// A call that the upstream works on, until its end is noted or this is dropped.
 pub(crate) struct Run<'a> {
@@ -43,23 +43,23 @@
     }
 
     /// Notes how it ended.
-    pub(crate) fn end(mut self, result: &Result<Answer, Sent>) {
+    pub(crate) fn end(mut self, result: &Result<Answer, Failure>) {
         self.ended = true;
         match result {
             // An upstream says that it failed before it ends, too, such as when a call that it made was
             // refused. That clears nothing.
             Ok(answer) if answer.head.status().is_server_error() => {}
             Ok(_) => self.proxy.note_answered(self.request),
-            Err(Sent::Lost(Outcome::Unknown(Doubt::Broken | Doubt::BadAnswer))) => {
-                self.lose(Loss::Broken);
-                look(self.proxy);
+            Err(Failure::Final(Outcome::Unknown(Doubt::Broken | Doubt::BadAnswer))) => {
+                self.record(Loss::Broken);
+                probe(self.proxy);
             }
-            Err(Sent::Lost(Outcome::Unknown(Doubt::Timeout))) => self.lose(Loss::Abandoned),
-            Err(Sent::Lost(Outcome::NotRun(..)) | Sent::Not) => {}
+            Err(Failure::Final(Outcome::Unknown(Doubt::Timeout))) => self.record(Loss::Abandoned),
+            Err(Failure::Final(Outcome::NotRun(..)) | Failure::Unsent) => {}
         }
     }
 
-    fn lose(&self, loss: Loss) {
+    fn record(&self, loss: Loss) {
         let suspect = Suspect { request: self.request, label: self.offer.payload.label() };
         self.proxy.crashes.record_loss(suspect, loss, self.proxy.clock.now());
     }
@@ -68,18 +68,18 @@
 impl Drop for Run<'_> {
     fn drop(&mut self) {
         if !self.ended {
-            self.lose(Loss::Abandoned);
+            self.record(Loss::Abandoned);
         }
     }
 }
 
 /// Finds out whether the upstream has ended, unless that is being found out.
-pub(crate) fn look(proxy: &Arc<Proxy>) {
+pub(crate) fn probe(proxy: &Arc<Proxy>) {
     if proxy.crashes.begin_probe() {
         let proxy = proxy.clone();
         tokio::spawn(async move {
-            let has_ended = has_ended(&proxy).await;
-            proxy.crashes.finish_probe(has_ended, proxy.clock.now());
+            let has_crashed = has_crashed(&proxy).await;
+            proxy.crashes.finish_probe(has_crashed, proxy.clock.now());
         });
     }
 }
@@ -87,10 +87,10 @@
 /// Tells whether nobody listens at the upstream's address, and nothing was answered since that is known.
 ///
 /// What the process answered in its last moment may be read here after the calls that broke with it.
-async fn has_ended(proxy: &Proxy) -> bool {
+async fn has_crashed(proxy: &Proxy) -> bool {
     let mut refused = Vec::new();
-    for _ in 0..QUESTIONS_MOST {
-        sleep(PAUSE).await;
+    for _ in 0..MAX_PROBES {
+        sleep(PROBE_INTERVAL).await;
         match proxy.pool.open(proxy.settings.upstream, proxy.tuning().connect_timeout).await {
             Ok(connection) => {
                 proxy.pool.put(proxy.settings.upstream, connection);
@@ -99,7 +99,7 @@
             Err(ConnectError::Failed) => {}
             Err(ConnectError::Refused) => refused.push(proxy.clock.now()),
         }
-        if refused.len() == REFUSALS {
+        if refused.len() == REFUSALS_TO_CONFIRM {
             return !proxy.crashes.has_answered_after(refused[0]);
         }
     }
--- a/crates/traffic/src/upstream/proof.rs
+++ b/crates/traffic/src/upstream/validation.rs
@@ -9,7 +9,7 @@
 ///
 /// An upstream that echoes an id lets a crossed or late answer be told from the right one;
 /// HTTP/1.1 alone cannot.
-pub(super) fn belongs<T>(proxy: &Proxy, offer: &Offer, head: &Response<T>) -> bool {
+pub(super) fn matches_request<T>(proxy: &Proxy, offer: &Offer, head: &Response<T>) -> bool {
     let Some(name) = &proxy.settings.names.request else {
         return match wire::read_number(head.headers(), wire::ID) {
             Ok(None) => true,
@@ -18,10 +18,10 @@
         };
     };
     match (offer.payload.headers.get(name), head.headers().get(name)) {
-        (Some(asked), Some(told)) => asked == told,
+        (Some(sent), Some(echoed)) => sent == echoed,
         (None, _) => true,
         // A refusal need not say to what: it proves nothing but that this call has not run.
-        (Some(_), None) => refusal(proxy, head).is_some(),
+        (Some(_), None) => refusal_cause(proxy, head).is_some(),
     }
 }
 
@@ -38,11 +38,11 @@
     if head.status().is_success() {
         return stamped && plain;
     }
-    !promises || refusal(proxy, head).is_some()
+    !promises || refusal_cause(proxy, head).is_some()
 }
 
 /// Returns why the upstream has not run the call, if its answer says that it has not.
-pub(super) fn refusal<T>(proxy: &Proxy, head: &Response<T>) -> Option<Cause> {
+pub(super) fn refusal_cause<T>(proxy: &Proxy, head: &Response<T>) -> Option<Cause> {
     let name = proxy.settings.names.refused.as_ref()?;
     if head.status() == StatusCode::MISDIRECTED_REQUEST {
         return Some(Cause::Replaced);
--- a/crates/traffic/tests/cluster/mod.rs
+++ b/crates/traffic/tests/cluster/mod.rs
@@ -22,7 +22,7 @@
 };
 use telemetry::metric::Meter;
 use tokio::runtime::{Builder, Runtime};
-use traffic::{Clock, Door, Listener, Proxy, Settings, Tuning, wire::Names};
+use traffic::{Audience, Clock, Listener, Proxy, Settings, Tuning, wire::Names};
 
 /// Time after which a test gives up; no verdict depends on it otherwise.
 pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
@@ -345,14 +345,14 @@
         let meter = Arc::new(Meter::new().expect("metrics can be set up"));
         let proxy = Proxy::new(settings, Clock::default(), meter);
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        let bind = |door| {
-            let listener = self.runtime.block_on(Listener::bind_door(any, door));
+        let bind = |audience| {
+            let listener = self.runtime.block_on(Listener::bind_for(any, audience));
             let listener = listener.expect("a port is free");
             let address = listener.address().expect("the listener has an address");
             self.runtime.spawn(listener.serve(proxy.clone()));
             address
         };
-        let addresses = (bind(Door::Callers), bind(Door::Nodes));
+        let addresses = (bind(Audience::Callers), bind(Audience::Nodes));
         self.proxies.push(proxy);
         addresses
     }
