--- a/crates/traffic/src/entry.rs
+++ b/crates/traffic/src/entry.rs
@@ -1,4 +1,4 @@
-//! The entry node's part: finds an upstream for a call, and another if the first fails.
+//! The entry node's side of a call: chooses an upstream and retries at others if an attempt fails.
 
 mod attempt;
 mod choice;
@@ -24,7 +24,9 @@
     record::events::Event,
 };
 
-/// Offers the call to one upstream after the other until one answers or nothing more may be tried.
+/// Offers the call to one upstream at a time until one answers or no further attempt is allowed.
+///
+/// Fails with the outcome to report to the caller.
 pub(crate) async fn run(proxy: &Arc<Proxy>, call: &Call<'_>) -> Result<Answer, Outcome> {
     record_call(proxy, call);
     let mut tried: Vec<Upstream> = Vec::new();
@@ -57,7 +59,7 @@
     }
 }
 
-/// Returns why a call to `service` finds no upstream, if it finds none.
+/// Returns the cause to report if `service` has no available upstream.
 fn no_upstream_cause(proxy: &Proxy, service: &str) -> Cause {
     let view = proxy.view();
     let is_evacuated = |upstream: &Upstream| upstream.state == State::Evacuated;
@@ -67,8 +69,8 @@
     }
 }
 
-/// Returns why no further attempt may be made, if time is over, the caller has gone, or upstreams end under
-/// such calls.
+/// Returns the outcome that forbids a further attempt: the deadline has passed, the caller has
+/// disconnected, this node was paused, or the request is quarantined.
 fn stop_outcome(proxy: &Proxy, call: &Call<'_>) -> Option<Outcome> {
     let now = proxy.clock.now();
     let state = retry::CallState {
@@ -80,7 +82,7 @@
     retry::stop_cause(state).map(Cause::outcome).or_else(|| quarantined(proxy, call))
 }
 
-/// Returns the outcome of a call that must not run, since upstreams ended under such calls, and notes which.
+/// Returns the outcome of a quarantined request, and adds its fingerprint to the trace.
 fn quarantined(proxy: &Proxy, call: &Call<'_>) -> Option<Outcome> {
     let outcome = proxy.quarantined(&call.payload, call.service)?;
     let request = proxy.fingerprint(&call.payload, call.service).to_string();
--- a/crates/traffic/src/entry/attempt.rs
+++ b/crates/traffic/src/entry/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a call at an upstream, and what it shows of the upstream.
+//! One attempt of a call at an upstream; its result updates the upstream's health record.
 
 use fleet::view::Upstream;
 use model::time::Time;
@@ -16,7 +16,7 @@
     wire,
 };
 
-/// Makes one attempt and notes what it shows about the upstream.
+/// Makes one attempt that ends by `deadline`, and records its result in the upstream's health.
 pub(super) async fn run(
     proxy: &Arc<Proxy>,
     call: &Call<'_>,
@@ -45,13 +45,13 @@
             record_answer(proxy, call, upstream, time, answer.body.len());
         }
         (_, Sample::TimedOut(time)) => record_timeout(proxy, call, upstream, time),
-        // A failure may come sooner or later than an answer; its time tells nothing.
+        // The time of any other failure says nothing about the upstream's latency.
         _ => {}
     }
     result
 }
 
-/// Notes an answer of `bytes` after `time`, and how that compares with other calls of the route.
+/// Records an answer of `bytes` bytes after `time`, relative to other calls of the route.
 fn record_answer(
     proxy: &Proxy,
     call: &Call<'_>,
@@ -63,20 +63,20 @@
     record_slowness(proxy, call, upstream, before.map_or(1.0, |latency| latency.ratio(time)));
 }
 
-/// Notes that there was no answer within `time`, and how that compares with other calls.
+/// Records that no answer came within `time`, relative to other calls of the route.
 fn record_timeout(proxy: &Proxy, call: &Call<'_>, upstream: &Upstream, time: Duration) {
     let latency = proxy.estimates.latency(call.service, &call.options.route);
     let ratio = latency.map_or(1.0, |latency| latency.ratio(time));
     record_slowness(proxy, call, upstream, ratio.max(1.0));
 }
 
-/// Notes that a call took `ratio` times as long as those of its route usually do.
+/// Records that a call took `ratio` times the mean latency of its route.
 fn record_slowness(proxy: &Proxy, call: &Call<'_>, upstream: &Upstream, ratio: f64) {
     let now = proxy.clock.now();
     proxy.services.with(call.service, |s| s.record(upstream, now).record_slowness(ratio, now));
 }
 
-/// Notes that a call to `first` was answered by another upstream after `waited`.
+/// Records that the hedged request was answered before `first`, `waited` after the call began.
 pub(super) fn record_hedge_loss(
     proxy: &Proxy,
     call: &Call<'_>,
@@ -130,7 +130,7 @@
     );
 }
 
-/// Notes a call to an upstream, also if the call is dropped before it ends.
+/// Counts a call as in flight at an upstream until it ends or is dropped.
 struct Guard<'a> {
     proxy: &'a Proxy,
     service: &'a str,
--- a/crates/traffic/src/entry/choice.rs
+++ b/crates/traffic/src/entry/choice.rs
@@ -1,4 +1,4 @@
-//! Which upstream a call is offered to.
+//! Chooses the upstream that a call is offered to.
 
 use fleet::view::Upstream;
 use model::{service::WarmUp, time::Time};
@@ -16,10 +16,10 @@
     proxy::{Proxy, services::is_same_incarnation},
 };
 
-/// An upstream that may take work, and what was seen of it.
+/// An upstream that accepts work, with its health record.
 type Observed<'a> = (&'a Upstream, &'a Record);
 
-/// Chooses an upstream that the call was not offered to so far.
+/// Chooses an upstream that is not among `tried`.
 pub(super) fn choose(proxy: &Proxy, call: &Call<'_>, tried: &[Upstream]) -> Option<Upstream> {
     let view = proxy.view();
     let now = proxy.clock.now();
@@ -40,7 +40,7 @@
     })
 }
 
-/// Chooses by what this node has seen alone.
+/// Chooses by this node's health records alone.
 fn choose_by_health(
     call: &Call<'_>,
     available: &[Observed<'_>],
@@ -56,7 +56,7 @@
     choice::choose(&candidates, reach, call.kind(), slow_start, now, &mut rand::rng())
 }
 
-/// Chooses by the room that upstreams are known to have.
+/// Chooses by the free slots of each upstream, transfer time and health.
 fn choose_by_capacity(
     proxy: &Proxy,
     call: &Call<'_>,
@@ -90,9 +90,9 @@
     }
 }
 
-/// Chooses among all upstreams again, where every one was tried and the last was silent.
+/// Chooses among all upstreams again after each was tried and the last attempt timed out.
 ///
-/// The connection may have been silent and not the upstream; the next attempt uses a new one.
+/// The connection may have failed and not the upstream; the next attempt uses a new connection.
 pub(super) fn choose_after_timeout(
     proxy: &Proxy,
     call: &Call<'_>,
@@ -102,8 +102,8 @@
     if timed_out { choose(proxy, call, &[]) } else { None }
 }
 
-/// Tells whether the call was offered to this life of `upstream`. What else its entry says may have
-/// changed since.
+/// Returns whether the call was offered to this incarnation of `upstream`; its other fields may
+/// have changed since.
 fn is_tried(tried: &[Upstream], upstream: &Upstream) -> bool {
     tried.iter().any(|earlier| is_same_incarnation(earlier, upstream))
 }
--- a/crates/traffic/src/entry/hedge.rs
+++ b/crates/traffic/src/entry/hedge.rs
@@ -1,9 +1,7 @@
-//! Hedged requests: a second attempt beside a first one that is silent.
+//! Hedged requests: a second, concurrent attempt at another upstream while the first is pending.
 //!
-//! An upstream may run a call and lose its answer; nothing ever tells. A call that may run twice is
-//! then sent to another upstream while there is still time for an answer, and the first answer of
-//! either counts. The first attempt is not cut before that: a slow answer that is ready is passed
-//! on, and if nobody may be asked a second time, waiting on costs nothing.
+//! Only idempotent calls are hedged. The first answer wins; until then the first attempt goes on,
+//! so a slow answer is still used.
 
 use fleet::view::Upstream;
 use policy::{
@@ -20,9 +18,9 @@
     record::events::Event,
 };
 
-/// Offers the call to `first`, and to one more upstream if that stays silent for long.
+/// Offers the call to `first`, and to a second upstream if no answer comes within the hedge delay.
 ///
-/// `tried` and `reached` count the second upstream as well.
+/// Adds the second upstream to `tried` and counts it in `reached`.
 pub(super) async fn run(
     proxy: &Arc<Proxy>,
     call: &Call<'_>,
@@ -60,7 +58,7 @@
     later.map_err(|outcome| outcome.after(earlier))
 }
 
-/// Returns the upstream for a second attempt, if one may be made.
+/// Returns the upstream for the hedged request, if the retry budget and attempt limit allow one.
 fn second_upstream(
     proxy: &Proxy,
     call: &Call<'_>,
--- a/crates/traffic/src/entry/retries.rs
+++ b/crates/traffic/src/entry/retries.rs
@@ -1,4 +1,4 @@
-//! Whether and when a call is offered once more: `policy::retry` and `policy::budget` put into effect.
+//! Applies `policy::retry` and `policy::budget`: whether and when a call is offered again.
 
 use fleet::view::Upstream;
 use model::time::Time;
@@ -11,7 +11,7 @@
 
 use crate::{call::Call, proxy::Proxy};
 
-/// Counts a call towards the budget for repeats.
+/// Counts a call towards the service's retry budget.
 pub(super) fn record_call(proxy: &Proxy, call: &Call<'_>) {
     let now = proxy.clock.now();
     let budget = proxy.tuning().budget;
@@ -21,7 +21,9 @@
     });
 }
 
-/// Decides whether a failed attempt is followed by another one.
+/// Decides whether to retry after a failed attempt.
+///
+/// `offers` counts all upstreams tried, `reached` those that may have received the call.
 pub(super) fn next_step(
     proxy: &Proxy,
     call: &Call<'_>,
@@ -32,7 +34,7 @@
     let may_crash_upstreams =
         matches!(outcome, Outcome::Unknown(_)) && proxy.is_suspected(&call.payload, call.service);
     if may_crash_upstreams {
-        // A repeat in the next moment would end one more upstream before word of this one arrives.
+        // A retry could crash another upstream before this crash is reported.
         return retry::Step::GiveUp;
     }
     let limit = call.options.attempts;
@@ -52,15 +54,15 @@
     })
 }
 
-/// Returns until when the attempt number `made` may take.
+/// Returns the deadline of attempt number `made`, counted from 1.
 pub(super) fn deadline(proxy: &Proxy, call: &Call<'_>, made: usize) -> Time {
     let now = proxy.clock.now();
     let remaining = call.deadline.since(now);
     now + retry::attempt_timeout(remaining, call.kind(), made as u32 - 1, call.options.attempts)
 }
 
-/// Returns how long the first attempt may be silent before a second one is made beside it; none
-/// where the call may run only once.
+/// Returns how long to wait for the first attempt before hedging; none if the call may run only
+/// once.
 pub(super) fn hedge_delay(proxy: &Proxy, call: &Call<'_>, first: &Upstream) -> Option<Duration> {
     if call.kind() == Kind::Once {
         return None;
--- a/crates/traffic/src/intake.rs
+++ b/crates/traffic/src/intake.rs
@@ -1,4 +1,4 @@
-//! Takes in requests: calls of callers and offers of other nodes.
+//! Accepts requests: calls from callers, offers from other nodes and readiness probes.
 
 mod caller;
 pub(crate) mod pipelining;
@@ -21,21 +21,22 @@
     wire,
 };
 
-/// Who may speak at an address.
+/// Whose requests a listener accepts.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Audience {
-    /// Callers and other nodes, told apart by the header of an offer.
+    /// Callers and other nodes; an offer is recognised by its header.
     #[default]
     All,
-    /// Callers only; what looks like an offer is a call.
+    /// Callers only; the header of an offer is ignored.
     Callers,
     /// Other nodes only.
     Nodes,
-    /// Whoever asks whether this node takes new work.
+    /// Readiness probes, answered with 200 or 503.
     Probes,
 }
 
-/// Answers a request, of a caller or of another node.
+/// Answers a request of a caller or of another node; closes the connection when load should move
+/// away.
 pub(crate) async fn handle(
     proxy: &Arc<Proxy>,
     request: Request<Inbound>,
@@ -53,8 +54,8 @@
     } else {
         caller::answer(proxy, request, origin, received).await
     };
-    // A refused caller comes back on a new connection; keeping the old one open would only fill
-    // the table of connections while there are too many callers.
+    // Refused callers retry on a new connection; idle old ones would use up the connection limit
+    // under overload.
     let refused =
         audience == Audience::Callers && response.status() == StatusCode::SERVICE_UNAVAILABLE;
     if refused
--- a/crates/traffic/src/intake/caller.rs
+++ b/crates/traffic/src/intake/caller.rs
@@ -1,4 +1,4 @@
-//! Takes in calls of callers, and answers them.
+//! Handles a caller's request: routes it, admits it, runs it and builds the response.
 
 use bytes::Bytes;
 use hyper::{Request, Response, StatusCode, header::HeaderValue, http::request::Parts};
@@ -29,7 +29,7 @@
     wire,
 };
 
-/// Answers a caller.
+/// Answers a caller's request and counts its outcome.
 pub(super) async fn answer(
     proxy: &Arc<Proxy>,
     request: Request<Inbound>,
@@ -62,7 +62,7 @@
     wire::header_text(response.headers(), wire::OUTCOME)
 }
 
-/// Lets a call in and carries it to its end, or says why it is not let in.
+/// Admits a call and runs it to its end; fails if its head or body is refused.
 async fn admit(
     proxy: &Arc<Proxy>,
     request: Request<Inbound>,
@@ -91,7 +91,7 @@
     Ok(response)
 }
 
-/// Checks the head of a call and reads its time.
+/// Checks the size of a call's head and reads its schedule.
 fn check_head(
     proxy: &Proxy,
     head: &Parts,
@@ -127,7 +127,7 @@
     );
 }
 
-/// Returns the call as it is offered to upstreams.
+/// Returns the call as it is offered to upstreams, without headers that only the node may set.
 fn build_call<'a>(
     proxy: &Proxy,
     head: Parts,
@@ -161,10 +161,10 @@
     }
 }
 
-/// Replaces the usual time to come back by one that suits the call.
+/// Replaces the default retry-after time by one derived from the call's timing.
 fn with_retry_after(proxy: &Proxy, outcome: Outcome, timing: Option<urgency::Timing>) -> Outcome {
     match (outcome, timing) {
-        // Nothing that the caller could wait for comes sooner.
+        // The retry-after time is the end of the quarantine.
         (Outcome::NotRun(Cause::Quarantined, _), _) => outcome,
         (Outcome::NotRun(cause, _), Some(timing)) => {
             let timing = timing.at(proxy.clock.now());
--- a/crates/traffic/src/intake/pipelining.rs
+++ b/crates/traffic/src/intake/pipelining.rs
@@ -1,14 +1,9 @@
-//! Pipelining: calls that a caller sends before earlier ones on the connection are answered.
+//! HTTP/1.1 pipelining: runs idempotent calls concurrently and answers them in order.
 //!
-//! HTTP/1.1 answers in the order of requests, and `hyper` takes up one after the other: of five
-//! lookups of 80 ms that are sent at once, the last would be answered after 400 ms, on an idle
-//! service too. So the bytes are read along on their way to `hyper`, and while a call is under way
-//! also those that `hyper` does not ask for yet. A request that is found behind one that is not yet
-//! answered is taken up at once, and `hyper` finds its answer under way, or ready, when it comes to it.
-//!
-//! Only requests without a body are read along; where one with a body comes, the connection is left
-//! to `hyper` from there on. And only calls that may be repeated are taken up: those behind an answer
-//! that closes the connection count as not read, and callers send them again.
+//! `hyper` handles one request of a connection at a time. A tap on the stream parses the heads of
+//! requests without a body ahead of `hyper` and starts their calls; `hyper` then awaits the running
+//! call. A request with a body disables parsing for the rest of the connection. Only idempotent
+//! calls start early, since callers resend requests behind an answer that closes the connection.
 
 use bytes::{Bytes, BytesMut};
 use http_body_util::{Either, Empty};
@@ -33,23 +28,22 @@
     wire::{self, Precision},
 };
 
-/// Most calls of one connection that are taken up so; the others wait for their turn. An answer
-/// that is ready early is held until then.
+/// Limit on calls of one connection started early; their answers are held until it is their turn.
 const MAX_PIPELINED_CALLS: usize = 8;
 
-/// Largest head that is read along, in bytes; `hyper` has a bound of its own.
+/// Limit on a head that is parsed ahead, in bytes; `hyper` has its own limit.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
 
-/// Most bytes that are read before `hyper` asks for them; then the caller has to wait.
+/// Limit on bytes that are read ahead of `hyper`; beyond it, TCP flow control stops the caller.
 const MAX_PREFETCHED_BYTES: usize = 4 * MAX_HEAD_BYTES;
 
-/// Bytes read at once while a call is under way: a few heads.
+/// Size of one read while a call is running, in bytes.
 const READ_BYTES: usize = 2 * 1024;
 
-/// Most headers of a request that is read along.
+/// Limit on the headers of a request that is parsed ahead.
 const MAX_HEADERS: usize = 64;
 
-/// What was read along on one connection.
+/// Parser and early calls of one connection.
 pub(crate) struct Pipeline {
     proxy: Arc<Proxy>,
     probe: Probe,
@@ -58,23 +52,23 @@
 
 #[derive(Default)]
 struct State {
-    /// Bytes that were read and that `hyper` has not asked for yet.
+    /// Bytes read from the socket that `hyper` has not read yet.
     prefetched: BytesMut,
-    /// Bytes of a head that is not yet whole.
+    /// Bytes of an incomplete head.
     unparsed: BytesMut,
-    /// Whether requests can no longer be told apart here.
+    /// Whether parsing ahead has stopped, since request boundaries are unknown.
     disabled: bool,
-    /// Requests whose heads were read along.
+    /// Number of heads parsed.
     parsed: u64,
-    /// Requests that `hyper` has handed over.
+    /// Number of requests that `hyper` has delivered.
     delivered: u64,
-    /// Requests that are answered.
+    /// Number of requests answered.
     answered: u64,
-    /// Calls that were taken up, by the number of their request.
+    /// Calls started early, with the number of their request, oldest first.
     started: VecDeque<(u64, Task)>,
 }
 
-/// A call that is under way; dropping it cancels it.
+/// A running call; cancelled on drop.
 struct Task(JoinHandle<Response<wire::Body>>);
 
 impl Drop for Task {
@@ -88,8 +82,7 @@
         Arc::new(Pipeline { proxy, probe, state: Mutex::default() })
     }
 
-    /// Answers the next request that `hyper` hands over: by what was taken up before its turn, or else by
-    /// `request` itself.
+    /// Answers the next request that `hyper` delivers, by its early call if one was started.
     pub(crate) async fn answer(&self, request: Request<Inbound>) -> Response<wire::Body> {
         let has_body = !request.body().is_end_stream();
         let response =
@@ -98,10 +91,10 @@
         response
     }
 
-    /// Answers a request without a body, and reads on meanwhile.
+    /// Answers a request without a body, and prefetches meanwhile.
     ///
-    /// Not one with a body: its last bytes could be read here in the moment in which `hyper` waits
-    /// for them at the socket; nothing would wake it, and the upload would hang until its deadline.
+    /// Not used with a body: bytes that are read here while `hyper` waits on the socket would not
+    /// wake it, and the upload would hang until its deadline.
     async fn run_and_prefetch(&self, request: Request<Inbound>) -> Response<wire::Body> {
         select! {
             biased;
@@ -119,7 +112,7 @@
         intake::handle(&self.proxy, request, self.probe.clone(), Audience::Callers).await
     }
 
-    /// Reads what comes while a call is under way, until the caller closes the connection.
+    /// Reads ahead while a call is running; returns when the caller closes the connection.
     async fn prefetch(&self) {
         let mut chunk = [0; READ_BYTES];
         while self.lock().prefetched.len() < MAX_PREFETCHED_BYTES {
@@ -130,7 +123,7 @@
         std::future::pending().await
     }
 
-    /// Returns the call of the next request, if it was taken up.
+    /// Returns the call of the next request, if it was started early.
     fn take_started(&self) -> Option<Task> {
         let mut state = self.lock();
         let number = state.delivered;
@@ -142,7 +135,7 @@
         state.started.pop_front().map(|(_, task)| task)
     }
 
-    /// Takes up the call with this head, if it may be repeated.
+    /// Starts the call with this head, if it is idempotent.
     fn start(&self, head: &[u8]) -> Option<Task> {
         let request = parse_request(head)?;
         if !target::is_idempotent(&self.proxy.config(), &request) {
@@ -186,7 +179,8 @@
     }
 }
 
-/// Takes the next whole head of a request without a body off the bytes read along.
+/// Splits off the next complete head of a request without a body; disables parsing on anything
+/// else.
 fn next_head(state: &mut State) -> Option<BytesMut> {
     if state.disabled || state.unparsed.is_empty() {
         return None;
@@ -201,17 +195,17 @@
     None
 }
 
-/// What the bytes of a connection begin with.
+/// What the unparsed bytes of a connection start with.
 enum Prefix {
-    /// The head of a request without a body, of this length.
+    /// The head of a request without a body, with its length in bytes.
     Bodyless(usize),
-    /// A part of a head.
+    /// An incomplete head.
     Partial,
-    /// Anything else.
+    /// A request with a body, or a malformed head.
     Other,
 }
 
-/// Headers of requests behind which the next one does not begin at once.
+/// Headers after which the next request does not start right behind the head.
 const FRAMING_HEADERS: [header::HeaderName; 4] =
     [header::CONTENT_LENGTH, header::TRANSFER_ENCODING, header::EXPECT, header::UPGRADE];
 
@@ -230,7 +224,7 @@
     if is_bodyless { Prefix::Bodyless(length) } else { Prefix::Other }
 }
 
-/// Returns the request with this head as `hyper` would; none where that would refuse it.
+/// Parses a head into the request that `hyper` would deliver; none if `hyper` would reject it.
 fn parse_request(bytes: &[u8]) -> Option<Request<Inbound>> {
     let mut headers = [EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
--- a/crates/traffic/src/intake/refusal.rs
+++ b/crates/traffic/src/intake/refusal.rs
@@ -1,15 +1,15 @@
-//! What a caller is told of a call without an answer.
+//! Responses to callers whose call has no answer from an upstream.
 
 use hyper::{Response, StatusCode};
 use policy::outcome::{Cause, Outcome};
 
 use crate::{proxy::Proxy, record::events::Event, wire};
 
-/// Why a call is not let in.
+/// The reason why a call is refused before it is offered to an upstream.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Refusal {
     cause: Cause,
-    /// Status in the place of that of the cause.
+    /// Status that overrides that of the cause.
     status: Option<StatusCode>,
 }
 
@@ -19,12 +19,12 @@
         Refusal { cause, status: None }
     }
 
-    /// Refuses a request that is not acceptable with the status that says why.
+    /// Refuses an unacceptable request with a specific status.
     pub(super) fn bad_request(status: StatusCode) -> Self {
         Refusal { cause: Cause::BadRequest, status: Some(status) }
     }
 
-    /// Tells the caller of a call to `service`, and counts it.
+    /// Returns the response to a call to `service`, and counts the refusal.
     pub(super) fn respond(self, proxy: &Proxy, service: &str) -> Response<wire::Body> {
         let mut response = respond(proxy, service, self.cause.outcome());
         if let Some(status) = self.status {
@@ -34,7 +34,7 @@
     }
 }
 
-/// Tells the caller an outcome without an answer, and counts it.
+/// Returns the response for an outcome without an answer, and counts it.
 pub(super) fn respond(proxy: &Proxy, service: &str, outcome: Outcome) -> Response<wire::Body> {
     match outcome {
         Outcome::NotRun(cause, _) => {
--- a/crates/traffic/src/intake/server.rs
+++ b/crates/traffic/src/intake/server.rs
@@ -1,4 +1,4 @@
-//! Accepts connections from callers and other nodes, within a bound.
+//! Accepts connections from callers and other nodes, up to a limit.
 
 use http_body_util::Either;
 use hyper::{Request, body::Incoming, server::conn::http1, service::service_fn};
@@ -17,16 +17,16 @@
     proxy::Proxy,
 };
 
-/// Bound on waiting for a request's head, which also ends idle connections.
+/// Time limit for reading a request's head; also closes idle connections.
 ///
-/// It lies above the time for which other nodes keep an idle connection, so that they, and not
-/// this side, close it: a connection that closes while a request is on its way loses it.
+/// Longer than the idle timeout of other nodes' connection pools, so that the client side closes
+/// first: a request sent while the server closes would be lost.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(75);
 
-/// Time for the other side of a connection to read the last answer and to end its side.
+/// Time for the peer to read the last answer and close its side.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Pause after a failure to accept, such as too many open files.
+/// Delay after a failed accept, such as with too many open files.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
 /// Failure to listen for calls.
@@ -50,22 +50,22 @@
         Listener::bind_for(address, Audience::All).await
     }
 
-    /// Listens at `address` for those that `audience` admits.
+    /// Listens at `address` for the requests of `audience`.
     pub async fn bind_for(address: SocketAddr, audience: Audience) -> Result<Self, Error> {
         let socket = TcpListener::bind(address).await.context(Snafu { address })?;
         Ok(Listener { socket, audience })
     }
 
-    /// Returns the address listened at.
+    /// Returns the bound address, with the port that the system assigned.
     pub fn address(&self) -> std::io::Result<SocketAddr> {
         self.socket.local_addr()
     }
 
-    /// Serves connections for ever.
+    /// Serves connections until the task is dropped; at most `max_connections` at a time.
     pub async fn serve(self, proxy: Arc<Proxy>) {
         let connections = Arc::new(Semaphore::new(proxy.settings.max_connections));
         loop {
-            // Beyond the bound, connections wait in the system's backlog and cost no memory here.
+            // Above the limit, connections wait in the system's backlog.
             let Ok(permit) = connections.clone().acquire_owned().await else { return };
             match self.socket.accept().await {
                 Ok((socket, _)) => {
@@ -104,22 +104,21 @@
     });
     let mut builder = http1::Builder::new();
     builder.timer(TokioTimer::new()).header_read_timeout(HEAD_TIMEOUT);
-    // An error here means that the other side broke the connection or the protocol; each call on
-    // it has been answered or cancelled by its own means.
+    // An error means that the peer broke the connection or the protocol; its calls have already
+    // been answered or cancelled.
     if let Ok(parts) = builder.serve_connection(stream, service).without_shutdown().await {
         linger(parts.io).await;
     }
 }
 
-/// Ends the own side of a connection and reads on until the other side ends its own.
+/// Shuts down the write side, then discards input until the peer closes or the timeout passes.
 ///
-/// A caller may have sent more requests behind the last one that was answered. Closing a socket
-/// with bytes unread resets the connection, and the reset overtakes the answer: the caller would
-/// see the connection break and not the answer that was written.
+/// Closing a socket with unread bytes, such as pipelined requests, resets the connection and may
+/// destroy an answer that the caller has not read yet.
 async fn linger(stream: Stream) {
     let read = async { while stream.discard().await {} };
     if stream.shutdown().is_ok() {
-        // What is still open by then is closed all the same.
+        // The connection is closed in either case.
         let _ = timeout(LINGER_TIMEOUT, read).await;
     }
 }
--- a/crates/traffic/src/intake/span.rs
+++ b/crates/traffic/src/intake/span.rs
@@ -1,4 +1,4 @@
-//! A caller's request from its head to its end, for the log.
+//! Traces a caller's request from its head to its response.
 
 use hyper::{Request, Response};
 use model::time::Time;
@@ -11,7 +11,7 @@
     wire::{self, header_text},
 };
 
-/// A caller's request until it is answered, or until the caller goes away and it is dropped.
+/// Writes the trace of a request when it is answered, or on drop when the caller disconnects.
 pub(crate) struct Span<'a> {
     proxy: &'a Proxy,
     received: Time,
@@ -25,7 +25,7 @@
         Span { proxy, received, trace, ended: false }
     }
 
-    /// Notes the answer.
+    /// Adds the response to the trace and writes it.
     pub(crate) fn end(&mut self, response: &Response<wire::Body>) {
         self.ended = true;
         let text = |name| header_text(response.headers(), name).unwrap_or_default();
@@ -62,7 +62,7 @@
     }
 }
 
-/// Returns the caller's id of a request, or one of this node where it gave none.
+/// Returns the caller's request id, or a new one if the caller sent none.
 fn request_id(proxy: &Proxy, request: &Request<Inbound>) -> String {
     let given = proxy.settings.names.request.clone();
     let given = given.and_then(|name| header_text(request.headers(), name));
--- a/crates/traffic/src/intake/upload.rs
+++ b/crates/traffic/src/intake/upload.rs
@@ -1,4 +1,4 @@
-//! Takes in the body of a caller's call, within the node's room.
+//! Receives the body of a caller's request, within the node's limits on calls and body bytes.
 
 use bytes::Bytes;
 use hyper::{HeaderMap, StatusCode};
@@ -15,14 +15,16 @@
     routing::target::Target,
 };
 
-/// A whole body, and the room that it and its call take up until this is dropped.
+/// A complete body, with the reservations of its call and bytes until it is dropped.
 pub(super) struct Upload<'a> {
     pub(super) body: Bytes,
     pub(super) guard: CallGuard<'a>,
     pub(super) reserved: Reservation<'a>,
 }
 
-/// Receives a body within the time that is `remaining` for its call.
+/// Receives a body within the profile's upload time and the call's `remaining` time.
+///
+/// Fails if the node is saturated or the body is too large, too slow or truncated.
 pub(super) async fn receive<'a>(
     proxy: &'a Proxy,
     target: &Target<'a>,
--- a/crates/traffic/src/routing.rs
+++ b/crates/traffic/src/routing.rs
@@ -1,4 +1,4 @@
-//! Where a call goes, and what holds for it on the way.
+//! Routes a request: its target, its schedule and the caller's earlier attempts.
 
 pub(crate) mod client_retry;
 pub(crate) mod schedule;
--- a/crates/traffic/src/routing/client_retry.rs
+++ b/crates/traffic/src/routing/client_retry.rs
@@ -1,4 +1,4 @@
-//! Tells a caller's later attempts from first ones: `policy::client_retry` put into effect.
+//! Applies `policy::client_retry`: recognises a caller's retry of a refused request.
 
 use hyper::{HeaderMap, Method, Response, Uri, header};
 use model::{request::Fingerprint, time::Time};
@@ -11,20 +11,19 @@
     wire::{self, header_text},
 };
 
-/// What is known of a caller's attempts at one request.
+/// A caller's attempts at one request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Caller {
     fingerprint: Fingerprint,
-    /// Which of its attempts this is.
+    /// Whether this is a first attempt or a retry.
     pub(crate) attempt: Attempt,
-    /// When its first attempt arrived.
+    /// When the first attempt was received.
     pub(crate) first_received: Time,
-    /// When its time is over.
+    /// When the caller stops waiting for an answer.
     deadline: Time,
 }
 
-/// Returns whose attempt a request is that arrived at `received`, with `remaining` left to its
-/// caller.
+/// Matches a request with the caller's earlier attempts; the caller waits for another `remaining`.
 pub(crate) fn identify(
     proxy: &Proxy,
     method: &Method,
@@ -39,7 +38,7 @@
     Caller { fingerprint, attempt, first_received, deadline: received + remaining }
 }
 
-/// Notes a caller who was told something after which it may ask again.
+/// Records a caller whose response is a server error, since it may retry.
 pub(crate) fn record(proxy: &Proxy, caller: Caller, response: &Response<wire::Body>) {
     if !response.status().is_server_error() {
         return;
--- a/crates/traffic/src/routing/schedule.rs
+++ b/crates/traffic/src/routing/schedule.rs
@@ -1,4 +1,4 @@
-//! Whose attempt a call is, by when it needs an answer, and how urgent it is.
+//! The schedule of a call: deadline, objective, priority rank and attempt.
 
 use hyper::http::request::Parts;
 use model::time::Time;
@@ -14,31 +14,33 @@
     wire,
 };
 
-/// The time of a call.
+/// When a call must be answered, and how urgent it is.
 pub(crate) struct Schedule {
     pub(crate) received: Time,
     pub(crate) deadline: Time,
     pub(crate) caller: Caller,
-    /// What is known of its time, if its route names an objective.
+    /// Timing relative to the objective, if its route has one.
     pub(crate) timing: Option<urgency::Timing>,
-    /// Who makes it.
+    /// Whether a caller or an upstream's nested call made it.
     pub(crate) origin: urgency::Origin,
     pub(crate) rank: Rank,
 }
 
 impl Schedule {
-    /// Returns when an answer becomes late, if the route names an objective.
+    /// Returns when an answer becomes late, if the route has an objective.
     pub(crate) fn due(&self) -> Option<Time> {
         self.timing.map(|timing| timing.due())
     }
 
-    /// Returns by when a large body must begin to cross, if the route names an objective.
+    /// Returns by when the transfer of a large body must start, if the route has an objective.
     pub(crate) fn transfer_by(&self) -> Option<Time> {
         self.timing.map(transfer::start_by)
     }
 }
 
-/// Reads the time of the call `id` from its head.
+/// Reads the schedule of the call with request id `id` from its head.
+///
+/// Fails if the deadline header is not a number.
 pub(crate) fn read(
     proxy: &Proxy,
     head: &Parts,
@@ -65,7 +67,7 @@
     Ok(Schedule { received, deadline, caller, timing, origin, rank })
 }
 
-/// Returns what is known of the time of a call whose route names an objective.
+/// Returns the timing of a call; none if its route has no objective.
 fn timing(
     proxy: &Proxy,
     target: &Target<'_>,
--- a/crates/traffic/src/routing/target.rs
+++ b/crates/traffic/src/routing/target.rs
@@ -1,4 +1,4 @@
-//! Where a call goes, and what holds for it on the way.
+//! Finds the service, options and limits of a request.
 
 use hyper::{Request, Uri, http::uri::PathAndQuery};
 use model::{config::Snapshot, profile::Profile, route};
@@ -11,19 +11,20 @@
     wire::{self, header_text},
 };
 
-/// Finds where a call goes: by the routes of the configuration if it has any, else by the name of
-/// a service.
+/// Finds the target of a request: by route if the configuration has routes, else by service name.
+///
+/// Fails with the cause of the refusal.
 pub(crate) fn find<'a>(
     proxy: &Proxy,
     config: &'a Snapshot,
     request: &Request<Inbound>,
 ) -> Result<Target<'a>, Cause> {
     if proxy.lifecycle.is_closed() {
-        // A call taken now could not be finished before the process ends.
+        // The call could not finish before the process exits.
         return Err(Cause::Leaving);
     }
     if config.version.revision == 0 && proxy.settings.incarnation.is_none() {
-        // Without any configuration nothing is known, not even that a route is missing.
+        // Without a configuration, a missing route does not mean that it is unknown.
         return Err(Cause::Unready);
     }
     let found = if config.has_routes() {
@@ -34,11 +35,10 @@
     found.ok_or_else(|| unknown_cause(proxy, config))
 }
 
-/// Returns why a call that leads nowhere is refused.
+/// Returns the cause of refusing a request without a target.
 ///
-/// A caller takes "unknown" for final. While another node holds a newer configuration, which this one
-/// still lacks, it cannot know: what was added there is to be asked for again in a moment. Otherwise
-/// callers of new routes would be turned away for good, wherever a change comes late.
+/// Callers do not retry an unknown service. If a newer configuration is in force elsewhere, it may
+/// contain the target, so the cause is then one that they retry.
 fn unknown_cause(proxy: &Proxy, config: &Snapshot) -> Cause {
     if proxy.expected_revision() > config.version.revision {
         Cause::Outdated
@@ -47,7 +47,7 @@
     }
 }
 
-/// Finds the service that a request names.
+/// Finds the target by the service name in the header or path.
 fn find_service<'a>(config: &'a Snapshot, request: &Request<Inbound>) -> Option<Target<'a>> {
     let (name, path) = address(request)?;
     let service = config.service(&name)?;
@@ -72,7 +72,7 @@
     })
 }
 
-/// Tells whether a request may run more than once, as far as routes say.
+/// Returns whether the route of a request is idempotent; false without a route.
 pub(crate) fn is_idempotent(config: &Snapshot, request: &Request<Inbound>) -> bool {
     let route = config.route(&wire::host(request.headers()), request.uri().path());
     route.is_some_and(|route| route.spec.kind == route::Kind::Idempotent)
@@ -106,19 +106,19 @@
     })
 }
 
-/// Where a call goes.
+/// The service that a request is routed to, with the options and limits that apply.
 pub(crate) struct Target<'a> {
     pub(crate) service: &'a str,
     pub(crate) profile: &'a Profile,
     pub(crate) path: Uri,
     pub(crate) options: Options,
-    /// Largest request body, in bytes.
+    /// Limit on the request body, in bytes.
     pub(crate) body_limit: usize,
-    /// Largest sum of a request's headers, in bytes.
+    /// Limit on the sum of header names and values, in bytes.
     pub(crate) header_limit: usize,
 }
 
-/// Returns the service that a request names, and the path that its upstream is to see.
+/// Returns the service name in a request, and the path to send to the upstream.
 fn address(request: &Request<Inbound>) -> Option<(String, Uri)> {
     if let Some(name) = header_text(request.headers(), wire::SERVICE) {
         return Some((name.to_owned(), request.uri().clone()));
--- a/crates/traffic/src/serving.rs
+++ b/crates/traffic/src/serving.rs
@@ -1,6 +1,6 @@
-//! The serving node's part: the only way to its upstream.
+//! The serving node's side of a call: every call to the colocated upstream is admitted here.
 //!
-//! Slots, leaving, deadlines and the claim are decided here, next to the upstream, on fresh facts.
+//! Slots, deadlines and all conditions of the claim are checked here, right before the call runs.
 
 use model::profile::Profile;
 use policy::{
@@ -19,7 +19,7 @@
     wire,
 };
 
-/// Runs an offered call on the own upstream, if it may be run.
+/// Runs an offered call on the colocated upstream, if the claim and the admission queue allow it.
 pub(crate) async fn run(
     proxy: &Arc<Proxy>,
     profile: &Profile,
@@ -39,7 +39,7 @@
     result
 }
 
-/// Returns the caller's id of an offered request, or the attempt's number where it gave none.
+/// Returns the caller's request id of an offer, or the attempt's id if the caller sent none.
 fn offer_id(proxy: &Proxy, offer: &Offer) -> String {
     let name = proxy.settings.names.request.as_ref();
     let given = name.and_then(|name| offer.payload.headers.get(name)?.to_str().ok());
@@ -67,7 +67,7 @@
     let run = crash::Run::begin(proxy, offer);
     let result = send_once(proxy, profile, offer, trace, connection, &mut slot).await;
     let result = match result {
-        // The upstream closed the kept connection in this moment; nothing was written on it.
+        // The upstream closed the idle connection before anything was written.
         Err(Failure::Unsent) if was_reused => match upstream::dial(proxy, offer).await {
             Ok(connection) => send_once(proxy, profile, offer, trace, connection, &mut slot).await,
             Err(outcome) => Err(Failure::Final(outcome)),
@@ -78,7 +78,7 @@
     result.map_err(Failure::outcome)
 }
 
-/// Claims the call and sends it, and notes how that ended.
+/// Sends the call on one connection and traces the result.
 async fn send_once(
     proxy: &Proxy,
     profile: &Profile,
@@ -93,7 +93,7 @@
     result
 }
 
-/// Claims the call and sends it: from here on only a whole answer proves what happened.
+/// Checks the claim again and sends the call; from here on its outcome may be unknown.
 async fn send(
     proxy: &Proxy,
     profile: &Profile,
@@ -143,7 +143,9 @@
     trace.note(&proxy.log, step);
 }
 
-/// Keeps a turn for the body of an offer that is still to come, if the call would be taken.
+/// Reserves a transfer slot for the body of an offer, if the call would be admitted.
+///
+/// Returns the ticket that the body must be sent with.
 pub(crate) async fn reserve(
     proxy: &Proxy,
     profile: &Profile,
@@ -159,7 +161,7 @@
     Ok(ticket)
 }
 
-/// Checks every reason not to run the call on the facts of this moment.
+/// Checks every condition of the claim at the present time; fails with the outcome to report.
 fn check_claim(proxy: &Proxy, offer: &Offer) -> Result<(), Outcome> {
     let now = proxy.clock.now();
     let quarantined = proxy.quarantined(&offer.payload, &proxy.settings.service);
--- a/crates/traffic/src/upstream.rs
+++ b/crates/traffic/src/upstream.rs
@@ -1,4 +1,4 @@
-//! One exchange with the own upstream.
+//! One exchange with the colocated upstream.
 
 pub(crate) mod crash;
 mod validation;
@@ -21,16 +21,16 @@
     wire,
 };
 
-/// How sending a call to the upstream failed.
+/// A failed exchange with the upstream.
 pub(crate) enum Failure {
-    /// Nothing was written.
+    /// Nothing was written; the call may be sent on another connection.
     Unsent,
-    /// As told.
+    /// The call is not sent again and has this outcome.
     Final(Outcome),
 }
 
 impl Failure {
-    /// Returns the outcome of a call that is not sent again.
+    /// Returns the outcome to report if the call is not sent again.
     pub(crate) fn outcome(self) -> Outcome {
         match self {
             Failure::Unsent => of_loss(Step::Dial, Loss::Closed),
@@ -39,7 +39,7 @@
     }
 }
 
-/// Opens a connection to the upstream.
+/// Opens a connection to the upstream; a refused connection may start a crash probe.
 pub(crate) async fn dial(proxy: &Arc<Proxy>, offer: &Offer) -> Result<Connection, Outcome> {
     let remaining = offer.deadline.since(proxy.clock.now());
     let limit = proxy.tuning().connect_timeout.min(remaining);
@@ -48,7 +48,7 @@
         proxy.crashes.mark_alive();
     }
     opened.map_err(|error| {
-        // All callers of a process may have left before it ended; only the next call notices the end.
+        // No call may have been pending when the process crashed; this one detects it.
         if error == ConnectError::Refused && proxy.crashes.has_recent_loss(proxy.clock.now()) {
             crash::probe(proxy);
         }
@@ -56,7 +56,7 @@
     })
 }
 
-/// Returns the request as the upstream is to see it, with the time that is left now.
+/// Returns the request for the upstream, with the remaining time as its deadline header.
 pub(crate) fn request(proxy: &Proxy, offer: &Offer) -> Request<wire::Body> {
     let mut request = offer.payload.request();
     let remaining = offer.deadline.since(proxy.clock.now()).as_millis() as u64;
@@ -74,7 +74,7 @@
     request
 }
 
-/// Sends a claimed call and receives its answer; notes how long the slot was used.
+/// Sends a claimed call, receives its answer and sets the permit's service time.
 pub(crate) async fn exchange(
     proxy: &Proxy,
     profile: &Profile,
@@ -102,8 +102,8 @@
     let answer = result?;
     let rejected_early = !answer.head.status().is_success() && !offer.payload.body.is_empty();
     if !rejected_early {
-        // An upstream may reject a long request before it has read all of it and read on later;
-        // the next request on the connection would be taken for the rest.
+        // The upstream may not have read the whole body; it would take the next request on this
+        // connection for the rest.
         proxy.pool.put(proxy.settings.upstream, connection);
     }
     if let Some(cause) = refusal_cause(proxy, &answer.head) {
@@ -115,7 +115,7 @@
     Ok(answer)
 }
 
-/// Receives the upstream's answer whole and checks that it belongs to this call.
+/// Checks that the answer belongs to this call and receives its body.
 async fn receive(
     proxy: &Proxy,
     profile: &Profile,
--- a/crates/traffic/src/upstream/crash.rs
+++ b/crates/traffic/src/upstream/crash.rs
@@ -1,4 +1,4 @@
-//! Whether the own upstream has ended, and which requests it worked on then.
+//! Detects crashes of the colocated upstream and the requests that were running.
 
 use model::request::{Fingerprint, Suspect};
 use policy::{
@@ -15,19 +15,16 @@
     upstream::Failure,
 };
 
-/// Time between two questions whether anybody listens at the upstream's address, and before the first.
-///
-/// All calls of a process that ends are broken within a few milliseconds.
+/// Delay before each probe connection; the calls of a crashed process all break within it.
 const PROBE_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Refusals that show that nobody listens. A listener that is full may refuse one connection, hardly two in a
-/// row.
+/// Refused connections that confirm a crash; a full listener may refuse one.
 const REFUSALS_TO_CONFIRM: usize = 2;
 
-/// Most questions; on a busy instance a refusal may come later than a connection is waited for.
+/// Limit on probe connections; on a busy instance some may time out.
 const MAX_PROBES: usize = 6;
 
-/// A call that the upstream works on, until its end is noted or this is dropped.
+/// A call running on the upstream; records it as abandoned if dropped before its end.
 pub(crate) struct Run<'a> {
     proxy: &'a Arc<Proxy>,
     offer: &'a Offer,
@@ -36,18 +33,18 @@
 }
 
 impl<'a> Run<'a> {
-    /// Notes that the upstream is to work on `offer`.
+    /// Starts tracking `offer` as running on the upstream.
     pub(crate) fn begin(proxy: &'a Arc<Proxy>, offer: &'a Offer) -> Self {
         let request = proxy.fingerprint(&offer.payload, &proxy.settings.service);
         Run { proxy, offer, request, ended: false }
     }
 
-    /// Notes how it ended.
+    /// Records the result; a broken call starts a crash probe.
     pub(crate) fn end(mut self, result: &Result<Answer, Failure>) {
         self.ended = true;
         match result {
-            // An upstream says that it failed before it ends, too, such as when a call that it made was
-            // refused. That clears nothing.
+            // An upstream may also answer with an error before it crashes, so this does not clear
+            // the request.
             Ok(answer) if answer.head.status().is_server_error() => {}
             Ok(_) => self.proxy.note_answered(self.request),
             Err(Failure::Final(Outcome::Unknown(Doubt::Broken | Doubt::BadAnswer))) => {
@@ -73,7 +70,7 @@
     }
 }
 
-/// Finds out whether the upstream has ended, unless that is being found out.
+/// Starts a crash probe, unless one is running.
 pub(crate) fn probe(proxy: &Arc<Proxy>) {
     if proxy.crashes.begin_probe() {
         let proxy = proxy.clone();
@@ -84,9 +81,10 @@
     }
 }
 
-/// Tells whether nobody listens at the upstream's address, and nothing was answered since that is known.
+/// Returns whether the upstream refuses connections and has answered nothing since the first
+/// refusal.
 ///
-/// What the process answered in its last moment may be read here after the calls that broke with it.
+/// Answers sent before a crash may be read after the calls that broke with it.
 async fn has_crashed(proxy: &Proxy) -> bool {
     let mut refused = Vec::new();
     for _ in 0..MAX_PROBES {
--- a/crates/traffic/src/upstream/validation.rs
+++ b/crates/traffic/src/upstream/validation.rs
@@ -1,14 +1,13 @@
-//! Whether what came from the upstream is its answer to this call.
+//! Validates that an answer came from the upstream and belongs to the call.
 
 use hyper::{Response, StatusCode, header};
 use policy::outcome::Cause;
 
 use crate::{call::Offer, proxy::Proxy, wire};
 
-/// Tells whether an answer is to this call.
+/// Returns whether the request id that an answer echoes is that of the call.
 ///
-/// An upstream that echoes an id lets a crossed or late answer be told from the right one;
-/// HTTP/1.1 alone cannot.
+/// Detects answers that are crossed, duplicated or late, which HTTP/1.1 cannot tell apart.
 pub(super) fn matches_request<T>(proxy: &Proxy, offer: &Offer, head: &Response<T>) -> bool {
     let Some(name) = &proxy.settings.names.request else {
         return match wire::read_number(head.headers(), wire::ID) {
@@ -20,16 +19,15 @@
     match (offer.payload.headers.get(name), head.headers().get(name)) {
         (Some(sent), Some(echoed)) => sent == echoed,
         (None, _) => true,
-        // A refusal need not say to what: it proves nothing but that this call has not run.
+        // A refusal needs no id: it only proves that this call has not run.
         (Some(_), None) => refusal_cause(proxy, head).is_some(),
     }
 }
 
-/// Tells whether an answer can be passed on as the upstream's own.
+/// Returns whether an answer can be forwarded as the upstream's own.
 ///
-/// A success without the upstream's mark, or in an encoding that nobody asked for, is not what the
-/// upstream sent. A status that promises "not run" without the mark of a refusal promises more
-/// than is known.
+/// A success without the upstream's stamp, or with a content encoding, was not sent by it. A status
+/// that means "not run" is forwarded only with the header of a refusal.
 pub(super) fn is_authentic<T>(proxy: &Proxy, head: &Response<T>) -> bool {
     let names = &proxy.settings.names;
     let stamped = names.stamp.as_ref().is_none_or(|name| head.headers().contains_key(name));
@@ -41,7 +39,7 @@
     !promises || refusal_cause(proxy, head).is_some()
 }
 
-/// Returns why the upstream has not run the call, if its answer says that it has not.
+/// Returns the cause if the answer is a refusal by the upstream.
 pub(super) fn refusal_cause<T>(proxy: &Proxy, head: &Response<T>) -> Option<Cause> {
     let name = proxy.settings.names.refused.as_ref()?;
     if head.status() == StatusCode::MISDIRECTED_REQUEST {
