--- a/crates/traffic/tests/evacuation.rs
+++ b/crates/traffic/tests/evacuation.rs
@@ -1,4 +1,4 @@
-//! Zone evacuation, as calls see it.
+//! Calls to upstreams in evacuated data centres.
 
 mod cluster;
 
@@ -9,13 +9,13 @@
     cluster.show(viewer, number, |upstream| upstream.state = State::Evacuated);
 }
 
-fn take_back(cluster: &Cluster, viewer: usize, number: usize) {
+fn readmit(cluster: &Cluster, viewer: usize, number: usize) {
     cluster.show(viewer, number, |upstream| upstream.state = State::Live);
 }
 
-/// Guards against calls that reach an evacuated upstream since their sender has not heard of the order.
+/// Guards against running calls of an entry node that has not received the evacuation order.
 #[test]
-fn the_node_beside_an_evacuated_upstream_runs_nothing() {
+fn the_serving_node_refuses_offers_to_its_evacuated_upstream() {
     let cluster = Cluster::new(2, 4);
     evacuate(&cluster, 1, 1);
     cluster.upstreams[0].set(Behaviour::Refuse);
@@ -25,21 +25,21 @@
     assert_eq!(status(&cluster.exchange(0, &request("POST", "/post/a", "", "{}"))), "200");
 }
 
-/// Guards against a call of the evacuated data centre itself that goes to the upstream beside its node.
+/// Guards against sending callers of an evacuated data centre to its own upstream.
 #[test]
-fn a_node_sends_its_own_callers_elsewhere() {
+fn callers_in_an_evacuated_data_centre_are_sent_to_another() {
     let cluster = Cluster::new(2, 4);
     evacuate(&cluster, 0, 0);
     for _ in 0..8 {
         assert_eq!(status(&cluster.exchange(0, &request("GET", "/read/a", "", ""))), "200");
     }
     assert!(cluster.upstreams[0].seen().is_empty());
-    take_back(&cluster, 0, 0);
+    readmit(&cluster, 0, 0);
     cluster.upstreams[1].set(Behaviour::Refuse);
     assert_eq!(status(&cluster.exchange(0, &request("GET", "/read/a", "", ""))), "200");
 }
 
-/// Guards against callers who wait although no upstream is left: they are refused at once and told when to return.
+/// Guards against callers that wait while no upstream is left, or are refused without a retry time.
 #[test]
 fn with_every_data_centre_evacuated_calls_are_refused_at_once() {
     let cluster = Cluster::new(2, 4);
--- a/crates/traffic/tests/pipelining.rs
+++ b/crates/traffic/tests/pipelining.rs
@@ -1,4 +1,4 @@
-//! Calls that a caller sends ahead on one connection.
+//! Calls that a caller pipelines on one connection.
 
 mod cluster;
 
@@ -10,7 +10,7 @@
     time::Duration,
 };
 
-/// Returns a request that leaves the connection open.
+/// Returns the start of a request that keeps the connection open.
 fn request(method: &str, path: &str, id: &str) -> String {
     format!("{method} {path} HTTP/1.1\r\nhost: shop.example\r\nx-id: {id}\r\nx-deadline: 8000\r\n")
 }
@@ -23,7 +23,7 @@
     request("POST", "/post/a", id) + "content-length: 2\r\n\r\n{}"
 }
 
-/// Reads until `count` answers of the cluster's upstreams have come; returns their ids in order.
+/// Reads `count` answers of the cluster's upstreams; returns their ids in order.
 fn ids(stream: &mut TcpStream, count: usize) -> Vec<String> {
     let mut text = String::new();
     let mut chunk = [0; 4096];
@@ -36,14 +36,13 @@
     lines.map(str::to_owned).collect()
 }
 
-/// A chef's tablet sends five counts at once, and the last comes late although nobody else asks: the
-/// node took up each one only when the one before was answered.
+/// Guards against running the pipelined calls of a connection one after the other.
 #[test]
-fn calls_sent_ahead_run_side_by_side_and_are_answered_in_order() {
+fn pipelined_calls_run_concurrently_and_are_answered_in_order() {
     let cluster = Cluster::new(2, 4);
     cluster.upstreams.iter().for_each(|u| u.set(Behaviour::Answer));
     let mut stream = cluster.connect(0);
-    // Upstreams that answer only when they have seen all: one after the other, none would end.
+    // The upstream answers once it has all four calls, so sequential calls would never finish.
     cluster.upstreams[1].set(Behaviour::Refuse);
     cluster.upstreams[0].set(Behaviour::Batch(4));
     let all: String = ["r1", "r2", "r3", "r4"].map(get).concat();
@@ -55,7 +54,7 @@
 }
 
 #[test]
-fn heads_that_come_in_pieces_are_put_together() {
+fn fragmented_heads_are_reassembled() {
     let cluster = Cluster::new(1, 4);
     cluster.upstreams[0].set(Behaviour::Batch(3));
     let mut stream = cluster.connect(0);
@@ -67,10 +66,10 @@
     assert_eq!(ids(&mut stream, 3), ["r1", "r2", "r3"]);
 }
 
-/// A payment is posted although the caller was told that nothing behind the closing answer was read:
-/// it had been taken up ahead of its turn.
+/// Guards against running a payment early: the caller sends it again if an answer before it closes
+/// the connection.
 #[test]
-fn what_may_run_only_once_waits_for_its_turn() {
+fn a_non_idempotent_call_waits_for_its_turn() {
     let cluster = Cluster::new(1, 4);
     cluster.upstreams[0].set(Behaviour::Slowly(Duration::from_millis(300)));
     let mut stream = cluster.connect(0);
@@ -84,10 +83,9 @@
     assert_eq!(order, ["r1", "r2", "r3"]);
 }
 
-/// Upstreams go on working for a tablet that was switched off: nobody cancelled the calls that were
-/// taken up for it.
+/// Guards against calls that keep running after their caller has disconnected.
 #[test]
-fn calls_taken_up_ahead_end_with_the_connection() {
+fn pipelined_calls_are_cancelled_with_their_connection() {
     let cluster = Cluster::new(1, 4);
     cluster.upstreams[0].set(Behaviour::Silent);
     let mut stream = cluster.connect(0);
@@ -97,9 +95,9 @@
     cluster.wait(|| cluster.proxies[0].calls_in_flight() == 0);
 }
 
-/// Uploads arrive whole, in order and in time on connections that are read along.
+/// Guards against lost, reordered or stalled body bytes on connections with prefetching.
 #[test]
-fn bodies_that_come_in_pieces_arrive_whole() {
+fn fragmented_bodies_arrive_whole() {
     let cluster = Cluster::new(1, 16);
     let body = "x".repeat(60_000);
     let upload = request("POST", "/post/a", "r1") + "content-length: 60000\r\n\r\n" + &body;
--- a/crates/traffic/tests/quarantine.rs
+++ b/crates/traffic/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that end upstreams: which ones are told of, and which are not run.
+//! Requests that crash upstreams: which are reported as suspects, and which are quarantined.
 
 mod cluster;
 
@@ -7,46 +7,46 @@
 use model::{request::Fingerprint, time::Time};
 use std::{cell::RefCell, io::Write, sync::Arc, thread, time::Duration};
 
-/// Time in which a node finds out whether its upstream has ended, with room to spare.
-const FOUND: Duration = Duration::from_millis(500);
+/// Time in which a node surely detects a crash of its upstream.
+const DETECTION_TIME: Duration = Duration::from_millis(500);
 
-/// Time for which requests are quarantined here, in s; far more than any test takes.
-const HELD: u64 = 1_000;
+/// Time for which requests are quarantined, in s; longer than any test takes.
+const QUARANTINE_S: u64 = 1_000;
 
-/// Returns what ran when the upstream of `node` ended, once that is found.
-fn ended(cluster: &Cluster, node: usize) -> Crash {
+/// Waits until `node` detects a crash of its upstream and returns it.
+fn wait_for_crash(cluster: &Cluster, node: usize) -> Crash {
     let found = RefCell::new(Vec::new());
     cluster.wait(|| {
         found.borrow_mut().extend(cluster.proxies[node].take_crashes());
         !found.borrow().is_empty()
     });
-    let mut ends = found.into_inner();
-    assert_eq!(ends.len(), 1, "one end");
-    ends.remove(0)
+    let mut crashes = found.into_inner();
+    assert_eq!(crashes.len(), 1, "one end");
+    crashes.remove(0)
 }
 
-/// Ends the only upstream by `bytes`, and starts it again.
-fn lose(cluster: &Cluster, bytes: &str) -> Crash {
+/// Crashes the only upstream with the request `bytes`, and restarts it.
+fn crash_upstream(cluster: &Cluster, bytes: &str) -> Crash {
     cluster.upstreams[0].set(Behaviour::Crash);
     assert_eq!(status(&cluster.exchange(0, bytes)), "502");
-    let loss = ended(cluster, 0);
-    assert_eq!(loss.suspects.len(), 1);
+    let report = wait_for_crash(cluster, 0);
+    assert_eq!(report.suspects.len(), 1);
     cluster.upstreams[0].restart();
-    loss
+    report
 }
 
-/// Ends the only upstream by `bytes`, and starts it again; returns what they ask for.
-fn crash(cluster: &Cluster, bytes: &str) -> Fingerprint {
-    lose(cluster, bytes).suspects[0].request
+/// Crashes the only upstream with the request `bytes`, restarts it and returns the fingerprint.
+fn fatal_request(cluster: &Cluster, bytes: &str) -> Fingerprint {
+    crash_upstream(cluster, bytes).suspects[0].request
 }
 
-fn hold(cluster: &Cluster, node: usize, request: Fingerprint) {
-    let until = Time::at(Duration::from_secs(HELD));
+fn set_quarantined(cluster: &Cluster, node: usize, request: Fingerprint) {
+    let until = Time::at(Duration::from_secs(QUARANTINE_S));
     let quarantine = Quarantine { until: [(request, until)].into(), suspects: [request].into() };
     cluster.proxies[node].set_quarantine(Arc::new(quarantine));
 }
 
-/// Returns what a node is told of suspects that may run.
+/// Returns a quarantine in which `suspects` may still run.
 fn suspected(suspects: &[Fingerprint]) -> Arc<Quarantine> {
     let suspects = suspects.iter().copied().collect();
     Arc::new(Quarantine { suspects, ..Quarantine::default() })
@@ -59,16 +59,16 @@
     assert_eq!(status(&answer), "503", "{answer}");
     assert_eq!(header(&answer, "baobab-cause"), Some("quarantined"));
     let after: f64 = header(&answer, "retry-after").and_then(|t| t.parse().ok()).unwrap_or(0.0);
-    assert!(after > HELD as f64 / 2.0, "to come back after {after} s");
+    assert!(after > QUARANTINE_S as f64 / 2.0, "to come back after {after} s");
     assert_eq!(cluster.seen().len(), before, "it has not run");
 }
 
-/// Ends the upstream by one request, and brings another one once the first is not to be run.
+/// Quarantines `first` after it crashed the upstream; checks whether `second` counts as the same.
 #[track_caller]
 fn check(first: &str, second: &str, same: bool) {
     let cluster = Cluster::new(1, 4);
-    let fatal = crash(&cluster, first);
-    hold(&cluster, 0, fatal);
+    let fatal = fatal_request(&cluster, first);
+    set_quarantined(&cluster, 0, fatal);
     if same {
         check_refused(&cluster, 0, second);
     } else {
@@ -77,9 +77,9 @@
     }
 }
 
-/// An operator sees that upstreams end, and not under what.
+/// Guards against reports of a crash that lack a request which was running.
 #[test]
-fn an_end_is_told_with_all_that_ran() {
+fn a_crash_is_reported_with_all_running_requests() {
     let cluster = Cluster::new(1, 4);
     cluster.upstreams[0].set(Behaviour::Silent);
     let mut waiting = cluster.connect(0);
@@ -89,37 +89,37 @@
     cluster.upstreams[0].set(Behaviour::Crash);
     cluster.exchange(0, &request("POST", "/post/fatal?day=2", "", "{}"));
     let mut labels: Vec<String> =
-        ended(&cluster, 0).suspects.into_iter().map(|s| s.label).collect();
+        wait_for_crash(&cluster, 0).suspects.into_iter().map(|s| s.label).collect();
     labels.sort();
     assert_eq!(labels, ["GET shop.example/read/waiting", "POST shop.example/post/fatal?day=2"]);
 }
 
-/// Answers are cut short, and after three of them a popular page is refused everywhere.
+/// Guards against quarantining a request because of broken connections.
 #[test]
-fn a_connection_that_breaks_is_no_end() {
+fn a_broken_connection_is_not_a_crash() {
     let cluster = Cluster::new(1, 4);
     cluster.upstreams[0].set(Behaviour::Close);
     assert_eq!(status(&cluster.exchange(0, &request("GET", "/read/a", "", ""))), "502");
     cluster.upstreams[0].set(Behaviour::Answer);
-    thread::sleep(FOUND);
+    thread::sleep(DETECTION_TIME);
     assert!(cluster.proxies[0].take_crashes().is_empty());
 }
 
-/// Copies of a page that were answered a moment ago ran when the upstream ended; the page is not the cause.
+/// Guards against suspecting a request that ran during a crash but was answered just before.
 #[test]
-fn what_was_just_answered_is_no_suspect() {
+fn a_recently_answered_request_is_not_a_suspect() {
     let cluster = Cluster::new(1, 4);
     let page = request("GET", "/read/page", "", "");
     assert_eq!(status(&cluster.exchange(0, &page)), "200");
     cluster.upstreams[0].set(Behaviour::Crash);
     assert_eq!(status(&cluster.exchange(0, &page)), "502");
-    thread::sleep(FOUND);
+    thread::sleep(DETECTION_TIME);
     assert!(cluster.proxies[0].take_crashes().is_empty());
 }
 
-/// The caller leaves before the upstream ends under its request, so nobody sees that call break.
+/// Guards against missing a crash when the caller of the fatal request has already disconnected.
 #[test]
-fn the_next_call_finds_an_end_that_nobody_waited_for() {
+fn the_next_call_detects_a_crash_without_pending_calls() {
     let cluster = Cluster::new(1, 4);
     cluster.upstreams[0].set(Behaviour::Silent);
     let mut left = cluster.connect(0);
@@ -130,13 +130,13 @@
     cluster.wait(|| cluster.proxies[0].calls_in_flight() == 0);
     cluster.upstreams[0].crash();
     assert_eq!(status(&cluster.exchange(0, &request("GET", "/read/next", "", ""))), "503");
-    let suspects = ended(&cluster, 0).suspects;
+    let suspects = wait_for_crash(&cluster, 0).suspects;
     assert_eq!(suspects.len(), 1);
     assert_eq!(suspects[0].label, "GET shop.example/read/left");
 }
 
 #[test]
-fn a_request_is_the_same_by_whichever_way_it_comes() {
+fn equal_requests_are_quarantined_however_they_are_sent() {
     let read = request("GET", "/read/x?day=2", "", "");
     check(&read, &read, true);
     check(&read, &read.replace("x-id: r1", "x-id: r2").replace("3000", "700"), true);
@@ -148,9 +148,9 @@
     check(&post, &chunked.replace("0123456789", "4\r\n0123\r\n6\r\n456789\r\n0\r\n\r\n"), true);
 }
 
-/// A caller whose own lookup is sound is told to come back in ten minutes.
+/// Guards against refusing a request that only resembles the quarantined one.
 #[test]
-fn another_request_runs() {
+fn a_different_request_is_not_quarantined() {
     let read = request("GET", "/read/x?day=2", "", "");
     check(&read, &request("GET", "/read/x?day=3", "", ""), false);
     check(&read, &request("GET", "/read/x", "", ""), false);
@@ -160,36 +160,36 @@
     check(&post, &request("POST", "/post/x", "", "9876543210"), false);
 }
 
-/// The entry node has not heard of it yet; the upstream's own node has.
+/// Guards against running a quarantined request for an entry node that does not know of it yet.
 #[test]
-fn the_serving_node_refuses_what_an_entry_node_offers() {
+fn the_serving_node_refuses_an_offer_of_a_quarantined_request() {
     let cluster = Cluster::new(1, 4);
     let read = request("GET", "/read/x", "", "");
-    let fatal = crash(&cluster, &read);
+    let fatal = fatal_request(&cluster, &read);
     let entry = Cluster::without_config(1, 4);
     let mut view = fleet::view::View::default();
     for (service, upstream) in cluster.proxies[0].view().iter() {
-        // The entry node has an address of its own, so the upstream is another node's.
+        // At another address than the entry node's, the upstream is not colocated.
         let address = "127.0.0.3:7000".parse().expect("an address");
         view.add(service, fleet::view::Upstream { address, ..upstream.clone() });
     }
     entry.proxies[0].set_config(cluster.proxies[0].config());
     entry.proxies[0].set_view(Arc::new(view));
     assert_eq!(status(&entry.exchange(0, &request("GET", "/read/y", "", ""))), "200");
-    hold(&cluster, 0, fatal);
+    set_quarantined(&cluster, 0, fatal);
     let before = cluster.seen().len();
     let answer = entry.exchange(0, &read);
     assert_eq!((status(&answer), header(&answer, "baobab-cause")), ("503", Some("quarantined")));
     assert_eq!(cluster.seen().len(), before);
 }
 
-/// A copy is sent ahead on a connection that waits for another answer.
+/// Guards against running a quarantined request that is pipelined behind another one.
 #[test]
-fn a_request_that_is_sent_ahead_is_refused_too() {
+fn a_pipelined_quarantined_request_is_refused() {
     let cluster = Cluster::new(1, 4);
     let read = request("GET", "/read/x", "", "");
-    let fatal = crash(&cluster, &read);
-    hold(&cluster, 0, fatal);
+    let fatal = fatal_request(&cluster, &read);
+    set_quarantined(&cluster, 0, fatal);
     let before = cluster.seen().len();
     let first = request("GET", "/read/y", "", "").replace("connection: close\r\n", "");
     let answers = cluster.exchange(0, &format!("{first}{read}"));
@@ -198,12 +198,12 @@
     assert_eq!(cluster.seen().len(), before + 1);
 }
 
-/// A request waits for a slot while the word comes that it must not run.
+/// Guards against running a request that is quarantined while it waits for a slot.
 #[test]
-fn a_request_that_waits_for_a_slot_is_refused() {
+fn a_request_quarantined_while_it_waits_for_a_slot_is_refused() {
     let cluster = Cluster::new(1, 1);
     let read = request("GET", "/read/long/x", "", "");
-    let fatal = crash(&cluster, &read);
+    let fatal = fatal_request(&cluster, &read);
     cluster.upstreams[0].set(Behaviour::Slowly(Duration::from_millis(400)));
     let mut first = cluster.connect(0);
     first.write_all(request("GET", "/read/long/y", "", "").as_bytes()).expect("the node reads");
@@ -212,18 +212,17 @@
     let mut second = cluster.connect(0);
     second.write_all(read.as_bytes()).expect("the node reads");
     cluster.wait(|| cluster.proxies[0].calls_in_flight() >= 3);
-    hold(&cluster, 0, fatal);
+    set_quarantined(&cluster, 0, fatal);
     let mut answer = String::new();
-    // A reset ends the text as well.
+    // The node may reset the connection after its answer.
     let _ = std::io::Read::read_to_string(&mut second, &mut answer);
     assert_eq!(header(&answer, "baobab-cause"), Some("quarantined"), "{answer}");
     assert_eq!(cluster.seen().len(), before + 1);
 }
 
-/// Two copies ran when the process ended, and the break of one was read later than that of the other: a third of
-/// the way to being refused, not two thirds.
+/// Guards against counting one crash twice when its broken calls are detected at different times.
 #[test]
-fn one_process_ends_once() {
+fn calls_that_break_late_belong_to_the_same_crash() {
     let cluster = Cluster::new(1, 4);
     let read = request("GET", "/read/x", "", "");
     cluster.upstreams[0].set(Behaviour::Silent);
@@ -231,19 +230,18 @@
     copies.iter_mut().for_each(|c| c.write_all(read.as_bytes()).expect("the node reads"));
     cluster.wait(|| cluster.seen().len() == 2);
     cluster.upstreams[0].crash_but_one();
-    let first = ended(&cluster, 0);
+    let first = wait_for_crash(&cluster, 0);
     cluster.upstreams[0].crash();
-    assert_eq!(ended(&cluster, 0), first);
+    assert_eq!(wait_for_crash(&cluster, 0), first);
     cluster.upstreams[0].restart();
-    assert_ne!(lose(&cluster, &read).end, first.end);
+    assert_ne!(crash_upstream(&cluster, &read).end, first.end);
 }
 
-/// One attempt of a caller ends two upstreams: its repeat at the next one begins before word of the first end has
-/// come. Once that has come, the outcome is told and not tried again.
+/// Guards against crashing a second upstream by a retry of a suspect.
 #[test]
-fn a_suspect_whose_outcome_is_unknown_is_not_repeated() {
+fn a_suspect_with_unknown_outcome_is_not_retried() {
     let read = request("GET", "/read/x", "", "");
-    let suspect = crash(&Cluster::new(1, 4), &read);
+    let suspect = fatal_request(&Cluster::new(1, 4), &read);
     for (suspects, runs) in [(vec![], 2), (vec![suspect], 1)] {
         let cluster = Cluster::new(2, 4);
         cluster.proxies[0].set_quarantine(suspected(&suspects));
@@ -253,12 +251,12 @@
     }
 }
 
-/// A request is suspected by others after an outage, and this node answered it a moment before, or does now.
+/// Guards against quarantining a request that this node's upstream answers.
 #[test]
-fn an_answer_here_clears_what_others_suspect() {
+fn a_local_answer_clears_a_suspect_of_other_nodes() {
     let cluster = Cluster::new(1, 4);
     let read = request("GET", "/read/x", "", "");
-    let suspect = crash(&cluster, &read);
+    let suspect = fatal_request(&cluster, &read);
     cluster.proxies[0].set_quarantine(suspected(&[suspect]));
     assert!(cluster.proxies[0].take_cleared().is_empty());
     assert_eq!(status(&cluster.exchange(0, &read)), "200");
@@ -268,12 +266,12 @@
     assert_eq!(cluster.proxies[0].take_cleared(), [suspect]);
 }
 
-/// An upstream says that it failed, as it does where a call that it makes is refused; that clears nothing.
+/// Guards against clearing a suspect by an error answer, which an upstream may send before a crash.
 #[test]
-fn a_failure_clears_nothing() {
+fn an_error_answer_does_not_clear_a_suspect() {
     let cluster = Cluster::new(1, 4);
     let read = request("GET", "/read/x", "", "");
-    let suspect = crash(&cluster, &read);
+    let suspect = fatal_request(&cluster, &read);
     cluster.proxies[0].set_quarantine(suspected(&[suspect]));
     cluster.upstreams[0].set(Behaviour::Fail);
     assert_eq!(status(&cluster.exchange(0, &read)), "500");
--- a/crates/traffic/tests/routed.rs
+++ b/crates/traffic/tests/routed.rs
@@ -1,4 +1,4 @@
-//! Calls that are routed by host and path to upstreams that the platform lists.
+//! Calls that are routed by host and path.
 
 mod cluster;
 
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_decides() {
+fn the_longest_matching_prefix_of_the_host_wins() {
     let cluster = Cluster::new(1, 4);
     check(&cluster, &request("GET", "/read/a?b=1", "", ""), "200");
     check(&cluster, &request("GET", "/read/none/a", "", ""), "503");
@@ -26,20 +26,17 @@
     assert!(cluster.seen()[0].head.starts_with("GET /read/a?b=1 HTTP/1.1"));
 }
 
-/// A node that has just started tells every caller that their route does not exist, and they give
-/// up: it holds no configuration yet, so it cannot know.
+/// Guards against a starting node that reports routes as unknown, which callers do not retry.
 #[test]
-fn without_a_configuration_nothing_is_said_about_routes() {
+fn without_a_configuration_calls_are_refused_as_unready() {
     let cluster = Cluster::without_config(1, 4);
     let answer = check(&cluster, &request("GET", "/read/a", "", ""), "503");
     assert_eq!(header(&answer, "baobab-cause"), Some("unready"));
 }
 
-/// Callers of a route that was just added give up: one node holds the configuration without it, and
-/// tells them that the route does not exist, which they take for final. The node has heard that a newer
-/// configuration is in force elsewhere, so it cannot know, and asks them to come back.
+/// Guards against reporting a new route as unknown at a node that lacks the newest configuration.
 #[test]
-fn a_node_that_is_behind_does_not_say_that_a_route_is_unknown() {
+fn a_node_with_an_outdated_configuration_refuses_unknown_routes_as_outdated() {
     let cluster = Cluster::new(1, 4);
     let held = cluster.proxies[0].config().version.revision;
     cluster.proxies[0].set_expected_revision(held + 1);
@@ -52,7 +49,7 @@
 }
 
 #[test]
-fn the_entry_node_sets_what_only_it_may_set() {
+fn the_entry_node_overwrites_headers_that_only_it_may_set() {
     let cluster = Cluster::new(2, 4);
     let forged = "x-caller: somebody\r\nx-expect: i-9\r\nx-other: kept\r\nbaobab-offer: 0\r\n";
     for _ in 0..4 {
@@ -70,20 +67,18 @@
     }
 }
 
-/// A caller that claims to be an upstream's work, or the most urgent of all, goes before everybody:
-/// only what other nodes say of a call's rank and of an upstream's life is believed.
+/// Guards against callers that raise their rank by headers which only nodes may send.
 #[test]
-fn what_nodes_tell_each_other_is_not_believed_of_callers() {
+fn headers_between_nodes_are_ignored_from_callers() {
     let cluster = Cluster::new(1, 4);
     let forged = "baobab-nested: 1\r\nbaobab-priority: none\r\nbaobab-started-ms: never\r\n";
     check(&cluster, &request("GET", "/read/a", forged, ""), "200");
     assert!(!cluster.seen()[0].head.contains("baobab-"), "{}", cluster.seen()[0].head);
 }
 
-/// A payment is refused by an upstream that is full and by one whose address was taken over. Both
-/// prove that it has not run, so it goes on to the third.
+/// Guards against giving up on a payment after a refusal that proves that it has not run.
 #[test]
-fn what_provably_has_not_run_goes_to_another_upstream() {
+fn a_call_provably_not_run_is_retried_at_another_upstream() {
     for refusal in [Behaviour::Refuse, Behaviour::Other] {
         let cluster = Cluster::new(2, 4);
         cluster.upstreams[0].set(refusal);
@@ -97,9 +92,9 @@
     }
 }
 
-/// A payment is repeated by its caller, because a node passed on a 503 that promised nothing.
+/// Guards against a caller that repeats a payment after a 503 that does not prove "not run".
 #[test]
-fn answers_that_prove_nothing_are_not_passed_on_as_proof() {
+fn answers_without_proof_have_an_unknown_outcome() {
     for behaviour in [Behaviour::Unmarked, Behaviour::Unstamped, Behaviour::Crossed] {
         let cluster = Cluster::new(2, 4);
         cluster.upstreams.iter().for_each(|upstream| upstream.set(behaviour));
@@ -109,7 +104,7 @@
 }
 
 #[test]
-fn an_upstream_s_own_failure_is_passed_on_whole() {
+fn an_error_of_the_upstream_itself_is_forwarded_whole() {
     let cluster = Cluster::new(1, 4);
     cluster.upstreams[0].set(Behaviour::Fail);
     let answer = check(&cluster, &request("POST", "/post/a", "", "{}"), "500");
@@ -118,17 +113,16 @@
 }
 
 #[test]
-fn an_answer_may_end_with_its_connection() {
+fn an_answer_may_be_delimited_by_the_end_of_its_connection() {
     let cluster = Cluster::new(2, 4);
     cluster.upstreams.iter().for_each(|upstream| upstream.set(Behaviour::Unframed));
     let answer = check(&cluster, &request("GET", "/read/a", "", ""), "200");
     assert_eq!(header(&answer, "content-length"), Some("4"));
 }
 
-/// A shop waits until its deadline for a stock lookup that an upstream ran and whose answer was
-/// lost; another upstream could have answered in time.
+/// Guards against waiting until the deadline when another upstream could answer.
 #[test]
-fn a_silent_upstream_gets_a_rival() {
+fn a_call_to_a_silent_upstream_is_hedged() {
     let cluster = Cluster::new(2, 4);
     cluster.upstreams[0].set(Behaviour::Silent);
     for _ in 0..3 {
@@ -136,10 +130,9 @@
     }
 }
 
-/// An answer that was on its way is thrown away: the attempt was cut after its share of the time
-/// although there was nobody else to ask.
+/// Guards against cancelling a slow attempt when there is no upstream to hedge at.
 #[test]
-fn a_slow_answer_is_waited_for_where_nobody_else_can_be_asked() {
+fn a_slow_answer_is_awaited_without_another_upstream() {
     let cluster = Cluster::new(1, 4);
     cluster.upstreams[0].set(Behaviour::Slowly(Duration::from_millis(1_200)));
     check(&cluster, &request("GET", "/read/a", "", ""), "200");
@@ -147,17 +140,17 @@
 }
 
 #[test]
-fn a_payment_has_no_rival() {
+fn a_non_idempotent_call_is_not_hedged() {
     let cluster = Cluster::new(2, 4);
     cluster.upstreams.iter().for_each(|u| u.set(Behaviour::Slowly(Duration::from_millis(900))));
     check(&cluster, &request("POST", "/post/a", "", "{}"), "200");
     assert_eq!(cluster.seen().len(), 1);
 }
 
-/// The answer to a pharmacy's last lookup never arrives, although it was written: more lookups
-/// waited unread behind it, and closing the socket reset the connection.
+/// Guards against a connection reset that destroys the last answer because pipelined requests were
+/// unread.
 #[test]
-fn the_last_answer_of_a_closing_node_arrives() {
+fn the_last_answer_before_a_node_closes_its_connection_arrives() {
     let cluster = Cluster::new(1, 4);
     cluster.proxies[0].set_ready(true);
     cluster.upstreams[0].set(Behaviour::Slowly(Duration::from_millis(50)));
@@ -180,25 +173,23 @@
     }
 }
 
-/// An upload that is refused in the end has crossed a slow link for nothing, and held up everything
-/// behind it.
+/// Guards against transferring a large body over a slow link before the call is admitted.
 #[test]
-fn a_large_body_crosses_only_if_it_will_be_taken() {
+fn a_large_body_is_transferred_only_if_it_is_admitted() {
     let cluster = Cluster::new(2, 1);
     let body = "x".repeat(100_000);
     for _ in 0..6 {
         check(&cluster, &request("POST", "/post/big", "", &body), "200");
     }
-    let whole = |seen: &cluster::Seen| seen.body.len() == 100_000;
-    assert!(cluster.seen().iter().all(whole));
+    let is_complete = |seen: &cluster::Seen| seen.body.len() == 100_000;
+    assert!(cluster.seen().iter().all(is_complete));
     let too_large = "x".repeat(200_001);
     check(&cluster, &request("POST", "/post/big", "", &too_large), "413");
 }
 
-/// The rest of a rejected upload is taken for the next request: the upstream answers before it has
-/// read everything and keeps the connection.
+/// Guards against the rest of a rejected upload being read as the next request.
 #[test]
-fn a_connection_with_an_early_answer_is_not_used_again() {
+fn a_connection_with_an_early_answer_is_not_reused() {
     let cluster = Cluster::new(1, 4);
     cluster.upstreams[0].set(Behaviour::Early);
     let body = "x".repeat(150_000);
@@ -212,10 +203,9 @@
     }
 }
 
-/// A refused caller's connection ends: it comes back on a new one, and thousands of old ones would
-/// fill the table.
+/// Guards against idle connections of refused callers using up the connection limit.
 #[test]
-fn a_refusal_ends_its_connection() {
+fn a_refusal_closes_its_connection() {
     let cluster = Cluster::new(1, 1);
     cluster.upstreams[0].set(Behaviour::Slowly(Duration::from_millis(700)));
     let holding = request("GET", "/read/long/a", "", "");
@@ -223,14 +213,14 @@
     thread::scope(|scope| {
         scope.spawn(|| cluster.exchange(0, &holding));
         cluster.wait(|| !cluster.seen().is_empty());
-        // The text ends only because the node ends the connection.
+        // The exchange returns only when the node closes the connection.
         let answer = check(&cluster, &refused, "503");
         assert_eq!(header(&answer, "connection"), Some("close"));
     });
 }
 
 #[test]
-fn a_node_that_ends_soon_takes_nothing_more() {
+fn a_node_that_is_about_to_exit_refuses_calls() {
     let cluster = Cluster::new(1, 4);
     cluster.proxies[0].leave();
     cluster.proxies[0].close();
--- a/crates/traffic/tests/stateful_fuzz.rs
+++ b/crates/traffic/tests/stateful_fuzz.rs
@@ -1,4 +1,4 @@
-//! Stateful fuzzing of calls: random faults of upstreams and nodes, with the upstreams' ledgers as
+//! Stateful fuzzing of calls under random faults of upstreams and nodes; the upstreams' ledgers are
 //! the oracle.
 
 mod rig;
@@ -12,11 +12,11 @@
 };
 use std::time::Duration;
 
-/// Seed of the scripts.
+/// Seed of the action sequences.
 const SEED: u64 = 42;
 
-const SCRIPTS: u64 = 150;
-const LENGTH: usize = 14;
+const CASES: u64 = 150;
+const MAX_ACTIONS: usize = 14;
 const UPSTREAMS: usize = 3;
 const PROFILE: &str = r#"{"deadline_ms": 120, "refused_status": 503, "queue_limit": 4}"#;
 
@@ -36,13 +36,13 @@
 enum Action {
     /// Changes how an upstream behaves.
     Behave(u8, u8),
-    /// Makes some payments at the same time.
+    /// Makes payments concurrently.
     Pay(u8),
-    /// Has a node take no more work.
+    /// Makes a node leave.
     Leave(u8),
-    /// Shows a node to the entry node as of a former life.
-    Age(u8),
-    /// Shows all nodes as they are.
+    /// Shows the entry node a previous incarnation of a node.
+    Outdate(u8),
+    /// Shows the entry node the current incarnation of all nodes.
     Refresh,
 }
 
@@ -53,45 +53,45 @@
             0..=3 => Action::Behave(n, u8::arbitrary(g)),
             4..=8 => Action::Pay(1 + n % 6),
             9 => Action::Leave(n),
-            10 => Action::Age(n),
+            10 => Action::Outdate(n),
             _ => Action::Refresh,
         }
     }
 }
 
-/// What callers were told of their payments.
-type Told = Vec<(String, String)>;
+/// The payments made, each with the outcome reported to its caller.
+type Payments = Vec<(String, String)>;
 
-fn act(rig: &Rig, action: Action, told: &mut Told) {
+fn apply(rig: &Rig, action: Action, payments: &mut Payments) {
     let index = |n: u8| usize::from(n) % UPSTREAMS;
     match action {
         Action::Behave(n, mode) => {
             rig.upstreams[index(n)].set_mode(MODES[usize::from(mode) % MODES.len()]);
         }
-        Action::Pay(count) => pay(rig, count, told),
+        Action::Pay(count) => pay(rig, count, payments),
         Action::Leave(n) => rig.nodes[index(n)].proxy.leave(),
-        Action::Age(n) => show(rig, Some(index(n))),
+        Action::Outdate(n) => show(rig, Some(index(n))),
         Action::Refresh => show(rig, None),
     }
 }
 
-fn show(rig: &Rig, aged: Option<usize>) {
+fn show(rig: &Rig, outdated: Option<usize>) {
     let records: Vec<_> = (0..UPSTREAMS)
         .map(|i| {
             let mut record = record(i, rig.nodes[i].traffic, State::Live);
-            record.incarnation -= u64::from(aged == Some(i));
+            record.incarnation -= u64::from(outdated == Some(i));
             record
         })
         .collect();
     rig.set_view(&records);
 }
 
-fn pay(rig: &Rig, count: u8, told: &mut Told) {
+fn pay(rig: &Rig, count: u8, payments: &mut Payments) {
     let entry = rig.entry.traffic;
     let calls: Vec<_> = (0..count)
         .map(|_| {
-            let work = format!("pay-{}", told.len());
-            told.push((work.clone(), String::new()));
+            let work = format!("pay-{}", payments.len());
+            payments.push((work.clone(), String::new()));
             let call = Call::post("/paydesk/pay", &work);
             rig.runtime.spawn(async move { (work, Caller::new(entry).call(&call).await) })
         })
@@ -99,28 +99,28 @@
     for call in calls {
         let (work, answer) = rig.runtime.block_on(call).expect("the task ends");
         let outcome = answer.map_or("none".to_owned(), |a| {
-            let own = a.outcome() != "answered" || a.header("x-work") == work;
-            if own { a.outcome().to_owned() } else { "another's answer".to_owned() }
+            let is_own = a.outcome() != "answered" || a.header("x-work") == work;
+            if is_own { a.outcome().to_owned() } else { "another's answer".to_owned() }
         });
-        if let Some(entry) = told.iter_mut().find(|(w, _)| *w == work) {
+        if let Some(entry) = payments.iter_mut().find(|(w, _)| *w == work) {
             entry.1 = outcome;
         }
     }
 }
 
-/// A payment posts twice, is called "not run" although it ran, or brings another's answer, after
-/// some order of faults. No single cause; this looks for one.
+/// Guards against payments that run twice, are wrongly reported as not run, or get the answer of
+/// another call.
 #[test]
-fn outcomes_are_true_after_any_faults() {
+fn reported_outcomes_match_the_ledgers_after_any_faults() {
     fn property(actions: Vec<Action>) -> TestResult {
         let work = Duration::from_millis(2);
         let upstream = Settings { slots: 2, work, ..Settings::default() };
         let rig = Rig::new(vec![upstream; UPSTREAMS], PROFILE);
-        let mut told = Told::new();
+        let mut payments = Payments::new();
         for action in actions {
-            act(&rig, action, &mut told);
+            apply(&rig, action, &mut payments);
         }
-        for (work, outcome) in told {
+        for (work, outcome) in payments {
             let runs = rig.runs(&work);
             let holds = match outcome.as_str() {
                 "answered" => runs == 1,
@@ -137,7 +137,7 @@
         TestResult::passed()
     }
     QuickCheck::new()
-        .rng(Gen::from_size_and_seed(LENGTH, SEED))
-        .tests(SCRIPTS)
+        .rng(Gen::from_size_and_seed(MAX_ACTIONS, SEED))
+        .tests(CASES)
         .quickcheck(property as fn(Vec<Action>) -> TestResult);
 }
--- a/crates/traffic/tests/upstream_faults.rs
+++ b/crates/traffic/tests/upstream_faults.rs
@@ -1,5 +1,5 @@
-//! The fault matrix of calls at the upstream: each fault, for calls that may be repeated and for
-//! calls that may not. The upstream's ledger is the oracle.
+//! Each fault of an upstream, for idempotent and non-idempotent calls. The upstream's ledger is the
+//! oracle.
 
 mod rig;
 
@@ -11,22 +11,21 @@
 
 const PROFILE: &str = r#"{"deadline_ms": 700, "refused_status": 503}"#;
 
-/// Makes one post to a service whose only upstream is in `mode`; compares what the caller is told
-/// and how often the work was begun.
+/// Makes one post to a service whose only upstream is in `mode`; checks the reported outcome and
+/// the number of runs.
 #[track_caller]
 fn check(mode: Mode, outcome: &str, cause: &str, runs: u32) {
     let rig = Rig::new(vec![Settings::default()], PROFILE);
     rig.upstreams[0].set_mode(mode);
     let answer = rig.call(&Call::post("/paydesk/payments", "pay"));
-    let told = (answer.outcome(), answer.header("baobab-cause"));
-    assert_eq!((told, rig.runs("pay")), ((outcome, cause), runs), "{mode:?}");
+    let reported = (answer.outcome(), answer.header("baobab-cause"));
+    assert_eq!((reported, rig.runs("pay")), ((outcome, cause), runs), "{mode:?}");
     assert_eq!(!answer.header("retry-after").is_empty(), outcome == "not-run", "{mode:?}");
 }
 
-/// A supplier payment posts twice: the upstream ran it and broke off, and somebody on the way took
-/// that for a reason to run it again, or told the caller that it had not been run.
+/// Guards against running a payment again, or reporting it as not run, after the upstream ran it.
 #[test]
-fn a_payment_runs_at_most_once_and_its_outcome_is_true() {
+fn a_payment_runs_at_most_once_and_its_outcome_is_correct() {
     check(Mode::Normal, "answered", "", 1);
     check(Mode::Frozen, "unknown", "timeout", 0);
     check(Mode::Silent, "unknown", "timeout", 1);
@@ -37,7 +36,7 @@
     check(Mode::Refuse, "not-run", "refused", 0);
 }
 
-/// Makes one read while one of two upstreams is in `mode`.
+/// Makes reads while one of two upstreams is in `mode`.
 #[track_caller]
 fn check_read(mode: Mode) {
     let rig = Rig::new(vec![Settings::default(), Settings::default()], PROFILE);
@@ -48,9 +47,9 @@
     }
 }
 
-/// The stock lookup comes back empty although a healthy upstream stands beside the broken one.
+/// Guards against failing a read while a healthy upstream is available.
 #[test]
-fn a_read_finds_the_healthy_upstream() {
+fn a_read_is_answered_by_the_healthy_upstream() {
     for mode in [
         Mode::Frozen,
         Mode::Silent,
@@ -64,10 +63,9 @@
     }
 }
 
-/// One chef gets another's count: an answer that came twice was taken for the answer to the next
-/// request on the same connection.
+/// Guards against taking a duplicated answer for that to the next request on the connection.
 #[test]
-fn a_doubled_answer_is_not_taken_for_the_next() {
+fn a_duplicated_answer_is_not_taken_for_the_next() {
     let rig = Rig::new(vec![Settings::default()], PROFILE);
     rig.upstreams[0].set_mode(Mode::Double);
     for i in 0..30 {
@@ -80,25 +78,25 @@
     }
 }
 
-/// An upstream process that is gone was never reached: its payments were truly not run.
+/// Guards against an unknown outcome when the upstream could not be connected to.
 #[test]
-fn a_dead_upstream_is_not_run() {
+fn a_call_to_a_dead_upstream_is_not_run() {
     let rig = Rig::new(vec![Settings::default()], PROFILE);
     rig.call(&Call::get("/paydesk/balance"));
     rig.upstreams[0].kill();
-    let rig_gone = || std::net::TcpStream::connect(rig.upstreams[0].address()).is_err();
-    rig.wait(rig_gone);
+    let is_closed = || std::net::TcpStream::connect(rig.upstreams[0].address()).is_err();
+    rig.wait(is_closed);
     let answer = rig.call(&Call::post("/paydesk/payments", "pay"));
     assert_eq!((answer.outcome(), rig.runs("pay")), ("not-run", 0));
 }
 
-/// A payment finds the healthy upstream when the other one is gone, since it was provably not run.
+/// Guards against failing a payment that was provably not run while an upstream is available.
 #[test]
-fn a_payment_moves_on_from_a_dead_upstream() {
+fn a_payment_is_retried_after_a_dead_upstream() {
     let rig = Rig::new(vec![Settings::default(), Settings::default()], PROFILE);
     rig.upstreams[0].kill();
-    let rig_gone = || std::net::TcpStream::connect(rig.upstreams[0].address()).is_err();
-    rig.wait(rig_gone);
+    let is_closed = || std::net::TcpStream::connect(rig.upstreams[0].address()).is_err();
+    rig.wait(is_closed);
     for i in 0..12 {
         let work = format!("pay-{i}");
         let answer = rig.call(&Call::post("/paydesk/payments", &work));
@@ -106,9 +104,9 @@
     }
 }
 
-/// A read that may have run at one upstream was not "not run" because another one refused it.
+/// Guards against reporting "not run" after a refusal when an earlier attempt may have run.
 #[test]
-fn a_refusal_does_not_undo_an_attempt_that_may_have_run() {
+fn a_refusal_does_not_override_an_earlier_unknown_outcome() {
     let rig = Rig::new(vec![Settings::default(), Settings::default()], PROFILE);
     rig.upstreams[0].set_mode(Mode::CloseAfter);
     rig.upstreams[1].set_mode(Mode::Refuse);
