--- a/crates/traffic/src/entry/hedge.rs
+++ b/crates/traffic/src/entry/hedge.rs
@@ -1,9 +1,7 @@
-//! Hedged requests: a second attempt beside a first one that is silent.
+//! Hedged requests: a second, concurrent attempt at another upstream while the first is pending.
 //!
-//! An upstream may run a call and lose its answer; nothing ever tells. A call that may run twice is
-//! then sent to another upstream while there is still time for an answer, and the first answer of
-//! either counts. The first attempt is not cut before that: a slow answer that is ready is passed
-//! on, and if nobody may be asked a second time, waiting on costs nothing.
+//! Only idempotent calls are hedged. The first answer wins; until then the first attempt goes on,
+//! so a slow answer is still used.
 
 use fleet::view::Upstream;
 use policy::{
@@ -15,32 +13,32 @@
 
 use crate::{
     call::{Answer, Call},
-    entry::{attempt, choice::choose, repeat},
+    entry::{attempt, choice::choose, retries},
     proxy::Proxy,
     record::events::Event,
 };
 
-/// Offers the call to `first`, and to one more upstream if that stays silent for long.
+/// Offers the call to `first`, and to a second upstream if no answer comes within the hedge delay.
 ///
-/// `tried` and `arrivals` count the second upstream as well.
+/// Adds the second upstream to `tried` and counts it in `reached`.
 pub(super) async fn run(
     proxy: &Arc<Proxy>,
     call: &Call<'_>,
     first: &Upstream,
     tried: &mut Vec<Upstream>,
-    arrivals: &mut u32,
+    reached: &mut u32,
 ) -> Result<Answer, Outcome> {
     let begun = proxy.clock.now();
     let mut primary = pin!(attempt::run(proxy, call, first, call.deadline));
-    let Some(delay) = repeat::second_delay(proxy, call, first) else { return primary.await };
+    let Some(delay) = retries::hedge_delay(proxy, call, first) else { return primary.await };
     if let Ok(result) = timeout(delay, &mut primary).await {
         return result;
     }
-    let Some(second) = second_upstream(proxy, call, tried, *arrivals + 1) else {
+    let Some(second) = second_upstream(proxy, call, tried, *reached + 1) else {
         return primary.await;
     };
     tried.push(second.clone());
-    *arrivals += 1;
+    *reached += 1;
     proxy.meter.count_retry(call.service);
     proxy.events.add(Event::Retried(call.service.to_owned(), first.address, "silent"));
     let mut secondary = pin!(attempt::run(proxy, call, &second, call.deadline));
@@ -51,7 +49,7 @@
         },
         result = &mut secondary => match result {
             Ok(answer) => {
-                attempt::note_overtaken(proxy, call, first, proxy.clock.now().since(begun));
+                attempt::record_hedge_loss(proxy, call, first, proxy.clock.now().since(begun));
                 return Ok(answer);
             }
             Err(outcome) => (outcome, primary.await),
@@ -60,17 +58,17 @@
     later.map_err(|outcome| outcome.after(earlier))
 }
 
-/// Returns the upstream for a second attempt, if one may be made.
+/// Returns the upstream for the hedged request, if the retry budget and attempt limit allow one.
 fn second_upstream(
     proxy: &Proxy,
     call: &Call<'_>,
     tried: &[Upstream],
-    arrivals: u32,
+    reached: u32,
 ) -> Option<Upstream> {
     if call.kind() != Kind::Idempotent {
         return None;
     }
     let second = choose(proxy, call, tried)?;
-    let step = repeat::next_step(proxy, call, retry::TIMED_OUT, tried.len(), arrivals);
+    let step = retries::next_step(proxy, call, retry::TIMED_OUT, tried.len(), reached);
     (step == retry::Step::Retry).then_some(second)
 }
--- a/crates/traffic/src/entry/repeat.rs
+++ b/crates/traffic/src/entry/retries.rs
@@ -1,4 +1,4 @@
-//! Whether and when a call is offered once more: `policy::retry` and `policy::budget` put into effect.
+//! Applies `policy::retry` and `policy::budget`: whether and when a call is offered again.
 
 use fleet::view::Upstream;
 use model::time::Time;
@@ -11,8 +11,8 @@
 
 use crate::{call::Call, proxy::Proxy};
 
-/// Counts a call towards the budget for repeats.
-pub(super) fn note_call(proxy: &Proxy, call: &Call<'_>) {
+/// Counts a call towards the service's retry budget.
+pub(super) fn record_call(proxy: &Proxy, call: &Call<'_>) {
     let now = proxy.clock.now();
     let budget = proxy.tuning().budget;
     proxy.services.with(call.service, |service| match &budget {
@@ -21,18 +21,20 @@
     });
 }
 
-/// Decides whether a failed attempt is followed by another one.
+/// Decides whether to retry after a failed attempt.
+///
+/// `offers` counts all upstreams tried, `reached` those that may have received the call.
 pub(super) fn next_step(
     proxy: &Proxy,
     call: &Call<'_>,
     outcome: Outcome,
     offers: usize,
-    arrivals: u32,
+    reached: u32,
 ) -> retry::Step {
-    let may_end_upstreams =
+    let may_crash_upstreams =
         matches!(outcome, Outcome::Unknown(_)) && proxy.is_suspected(&call.payload, call.service);
-    if may_end_upstreams {
-        // A repeat in the next moment would end one more upstream before word of this one arrives.
+    if may_crash_upstreams {
+        // A retry could crash another upstream before this crash is reported.
         return retry::Step::GiveUp;
     }
     let limit = call.options.attempts;
@@ -44,7 +46,7 @@
     if !retry::may_offer(offers) {
         return retry::Step::GiveUp;
     }
-    let attempt = retry::Attempt { outcome, kind, made: arrivals, limit };
+    let attempt = retry::Attempt { outcome, kind, made: reached, limit };
     let nodes = proxy.fleet_size();
     let now = proxy.clock.now();
     retry::decide_reached(attempt, || {
@@ -52,16 +54,16 @@
     })
 }
 
-/// Returns until when the attempt number `made` may take.
-pub(super) fn patience(proxy: &Proxy, call: &Call<'_>, made: usize) -> Time {
+/// Returns the deadline of attempt number `made`, counted from 1.
+pub(super) fn deadline(proxy: &Proxy, call: &Call<'_>, made: usize) -> Time {
     let now = proxy.clock.now();
     let remaining = call.deadline.since(now);
     now + retry::attempt_timeout(remaining, call.kind(), made as u32 - 1, call.options.attempts)
 }
 
-/// Returns how long the first attempt may be silent before a second one is made beside it; none
-/// where the call may run only once.
-pub(super) fn second_delay(proxy: &Proxy, call: &Call<'_>, first: &Upstream) -> Option<Duration> {
+/// Returns how long to wait for the first attempt before hedging; none if the call may run only
+/// once.
+pub(super) fn hedge_delay(proxy: &Proxy, call: &Call<'_>, first: &Upstream) -> Option<Duration> {
     if call.kind() == Kind::Once {
         return None;
     }
@@ -74,6 +76,6 @@
         let record = s.record(first, now);
         (record.slowness(now), record.failure_share(now))
     });
-    let prospect = retry::Hedge { latency, slowness, failure_share, due, remaining };
-    Some(retry::hedge_delay(prospect))
+    let hedge = retry::Hedge { latency, slowness, failure_share, due, remaining };
+    Some(retry::hedge_delay(hedge))
 }
--- a/crates/traffic/src/intake.rs
+++ b/crates/traffic/src/intake.rs
@@ -1,11 +1,11 @@
-//! Takes in requests: calls of callers and offers of other nodes.
+//! Accepts requests: calls from callers, offers from other nodes and readiness probes.
 
 mod caller;
-mod open;
 pub(crate) mod pipelining;
 mod ready;
 mod refusal;
 pub(crate) mod server;
+mod span;
 mod upload;
 
 use hyper::{
@@ -21,41 +21,43 @@
     wire,
 };
 
-/// Who may speak at an address.
+/// Whose requests a listener accepts.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Door {
-    /// Callers and other nodes, told apart by the header of an offer.
+pub enum Audience {
+    /// Callers and other nodes; an offer is recognised by its header.
     #[default]
     All,
-    /// Callers only; what looks like an offer is a call.
+    /// Callers only; the header of an offer is ignored.
     Callers,
     /// Other nodes only.
     Nodes,
-    /// Whoever asks whether this node takes new work.
-    Ready,
+    /// Readiness probes, answered with 200 or 503.
+    Probes,
 }
 
-/// Answers a request, of a caller or of another node.
+/// Answers a request of a caller or of another node; closes the connection when load should move
+/// away.
 pub(crate) async fn handle(
     proxy: &Arc<Proxy>,
     request: Request<Inbound>,
     origin: Probe,
-    door: Door,
+    audience: Audience,
 ) -> Response<wire::Body> {
     let received = proxy.clock.now();
-    let is_offer = match door {
-        Door::All => request.headers().contains_key(wire::OFFER),
-        Door::Nodes => true,
-        Door::Callers | Door::Ready => false,
+    let is_offer = match audience {
+        Audience::All => request.headers().contains_key(wire::OFFER),
+        Audience::Nodes => true,
+        Audience::Callers | Audience::Probes => false,
     };
     let mut response = if is_offer {
         receiver::answer(proxy, request, origin, received).await
     } else {
         caller::answer(proxy, request, origin, received).await
     };
-    // A refused caller comes back on a new connection; keeping the old one open would only fill
-    // the table of connections while there are too many callers.
-    let refused = door == Door::Callers && response.status() == StatusCode::SERVICE_UNAVAILABLE;
+    // Refused callers retry on a new connection; idle old ones would use up the connection limit
+    // under overload.
+    let refused =
+        audience == Audience::Callers && response.status() == StatusCode::SERVICE_UNAVAILABLE;
     if refused
         || proxy.lifecycle.is_leaving()
         || (proxy.lifecycle.was_ready() && !proxy.lifecycle.is_ready())
--- a/crates/traffic/src/intake/pipelining.rs
+++ b/crates/traffic/src/intake/pipelining.rs
@@ -1,14 +1,9 @@
-//! Pipelining: calls that a caller sends before earlier ones on the connection are answered.
+//! HTTP/1.1 pipelining: runs idempotent calls concurrently and answers them in order.
 //!
-//! HTTP/1.1 answers in the order of requests, and `hyper` takes up one after the other: of five
-//! lookups of 80 ms that are sent at once, the last would be answered after 400 ms, on an idle
-//! service too. So the bytes are read along on their way to `hyper`, and while a call is under way
-//! also those that `hyper` does not ask for yet. A request that is found behind one that is not yet
-//! answered is taken up at once, and `hyper` finds its answer under way, or ready, when it comes to it.
-//!
-//! Only requests without a body are read along; where one with a body comes, the connection is left
-//! to `hyper` from there on. And only calls that may be repeated are taken up: those behind an answer
-//! that closes the connection count as not read, and callers send them again.
+//! `hyper` handles one request of a connection at a time. A tap on the stream parses the heads of
+//! requests without a body ahead of `hyper` and starts their calls; `hyper` then awaits the running
+//! call. A request with a body disables parsing for the rest of the connection. Only idempotent
+//! calls start early, since callers resend requests behind an answer that closes the connection.
 
 use bytes::{Bytes, BytesMut};
 use http_body_util::{Either, Empty};
@@ -22,7 +17,7 @@
 use tokio::{select, task::JoinHandle};
 
 use crate::{
-    intake::{self, Door},
+    intake::{self, Audience},
     lock::lock,
     net::{
         body::Inbound,
@@ -33,23 +28,22 @@
     wire::{self, Precision},
 };
 
-/// Most calls of one connection that are taken up so; the others wait for their turn. An answer
-/// that is ready early is held until then.
-const PIPELINED_MOST: usize = 8;
+/// Limit on calls of one connection started early; their answers are held until it is their turn.
+const MAX_PIPELINED_CALLS: usize = 8;
 
-/// Largest head that is read along, in bytes; `hyper` has a bound of its own.
-const HEAD_MOST: usize = 16 * 1024;
+/// Limit on a head that is parsed ahead, in bytes; `hyper` has its own limit.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
 
-/// Most bytes that are read before `hyper` asks for them; then the caller has to wait.
-const INBOX_MOST: usize = 4 * HEAD_MOST;
+/// Limit on bytes that are read ahead of `hyper`; beyond it, TCP flow control stops the caller.
+const MAX_PREFETCHED_BYTES: usize = 4 * MAX_HEAD_BYTES;
 
-/// Bytes read at once while a call is under way: a few heads.
-const READ: usize = 2 * 1024;
+/// Size of one read while a call is running, in bytes.
+const READ_BYTES: usize = 2 * 1024;
 
-/// Most headers of a request that is read along.
-const HEADERS_MOST: usize = 64;
+/// Limit on the headers of a request that is parsed ahead.
+const MAX_HEADERS: usize = 64;
 
-/// What was read along on one connection.
+/// Parser and early calls of one connection.
 pub(crate) struct Pipeline {
     proxy: Arc<Proxy>,
     probe: Probe,
@@ -58,23 +52,23 @@
 
 #[derive(Default)]
 struct State {
-    /// Bytes that were read and that `hyper` has not asked for yet.
-    inbox: BytesMut,
-    /// Bytes of a head that is not yet whole.
-    bytes: BytesMut,
-    /// Whether requests can no longer be told apart here.
-    blind: bool,
-    /// Requests whose heads were read along.
-    read: u64,
-    /// Requests that `hyper` has handed over.
-    taken: u64,
-    /// Requests that are answered.
+    /// Bytes read from the socket that `hyper` has not read yet.
+    prefetched: BytesMut,
+    /// Bytes of an incomplete head.
+    unparsed: BytesMut,
+    /// Whether parsing ahead has stopped, since request boundaries are unknown.
+    disabled: bool,
+    /// Number of heads parsed.
+    parsed: u64,
+    /// Number of requests that `hyper` has delivered.
+    delivered: u64,
+    /// Number of requests answered.
     answered: u64,
-    /// Calls that were taken up, by the number of their request.
-    begun: VecDeque<(u64, Task)>,
+    /// Calls started early, with the number of their request, oldest first.
+    started: VecDeque<(u64, Task)>,
 }
 
-/// A call that is under way; dropping it cancels it.
+/// A running call; cancelled on drop.
 struct Task(JoinHandle<Response<wire::Body>>);
 
 impl Drop for Task {
@@ -88,68 +82,68 @@
         Arc::new(Pipeline { proxy, probe, state: Mutex::default() })
     }
 
-    /// Answers the next request that `hyper` hands over: by what was taken up before its turn, or else by
-    /// `request` itself.
+    /// Answers the next request that `hyper` delivers, by its early call if one was started.
     pub(crate) async fn answer(&self, request: Request<Inbound>) -> Response<wire::Body> {
         let has_body = !request.body().is_end_stream();
-        let response = if has_body { self.run(request).await } else { self.attend(request).await };
+        let response =
+            if has_body { self.run(request).await } else { self.run_and_prefetch(request).await };
         self.lock().answered += 1;
         response
     }
 
-    /// Answers a request without a body, and reads on meanwhile.
+    /// Answers a request without a body, and prefetches meanwhile.
     ///
-    /// Not one with a body: its last bytes could be read here in the moment in which `hyper` waits
-    /// for them at the socket; nothing would wake it, and the upload would hang until its deadline.
-    async fn attend(&self, request: Request<Inbound>) -> Response<wire::Body> {
+    /// Not used with a body: bytes that are read here while `hyper` waits on the socket would not
+    /// wake it, and the upload would hang until its deadline.
+    async fn run_and_prefetch(&self, request: Request<Inbound>) -> Response<wire::Body> {
         select! {
             biased;
             response = self.run(request) => response,
-            () = self.read_on() => wire::response(Cause::Cancelled.outcome(), Precision::Seconds),
+            () = self.prefetch() => wire::response(Cause::Cancelled.outcome(), Precision::Seconds),
         }
     }
 
     async fn run(&self, request: Request<Inbound>) -> Response<wire::Body> {
-        if let Some(mut task) = self.take()
+        if let Some(mut task) = self.take_started()
             && let Ok(response) = (&mut task.0).await
         {
             return response;
         }
-        intake::handle(&self.proxy, request, self.probe.clone(), Door::Callers).await
+        intake::handle(&self.proxy, request, self.probe.clone(), Audience::Callers).await
     }
 
-    /// Reads what comes while a call is under way, until the caller closes the connection.
-    async fn read_on(&self) {
-        let mut chunk = [0; READ];
-        while self.lock().inbox.len() < INBOX_MOST {
+    /// Reads ahead while a call is running; returns when the caller closes the connection.
+    async fn prefetch(&self) {
+        let mut chunk = [0; READ_BYTES];
+        while self.lock().prefetched.len() < MAX_PREFETCHED_BYTES {
             let Some(count) = self.probe.read(&mut chunk).await else { return };
             self.observe(&chunk[..count]);
-            self.lock().inbox.extend_from_slice(&chunk[..count]);
+            self.lock().prefetched.extend_from_slice(&chunk[..count]);
         }
         std::future::pending().await
     }
 
-    /// Returns the call of the next request, if it was taken up.
-    fn take(&self) -> Option<Task> {
+    /// Returns the call of the next request, if it was started early.
+    fn take_started(&self) -> Option<Task> {
         let mut state = self.lock();
-        let number = state.taken;
-        state.taken += 1;
-        let (first, _) = state.begun.front()?;
+        let number = state.delivered;
+        state.delivered += 1;
+        let (first, _) = state.started.front()?;
         if *first != number {
             return None;
         }
-        state.begun.pop_front().map(|(_, task)| task)
+        state.started.pop_front().map(|(_, task)| task)
     }
 
-    /// Takes up the call with this head, if it may be repeated.
-    fn begin(&self, head: &[u8]) -> Option<Task> {
-        let request = request(head)?;
-        if !target::may_repeat(&self.proxy.config(), &request) {
+    /// Starts the call with this head, if it is idempotent.
+    fn start(&self, head: &[u8]) -> Option<Task> {
+        let request = parse_request(head)?;
+        if !target::is_idempotent(&self.proxy.config(), &request) {
             return None;
         }
         let (proxy, probe) = (self.proxy.clone(), self.probe.clone());
         Some(Task(tokio::spawn(async move {
-            intake::handle(&proxy, request, probe, Door::Callers).await
+            intake::handle(&proxy, request, probe, Audience::Callers).await
         })))
     }
 
@@ -161,77 +155,78 @@
 impl Tap for Pipeline {
     fn observe(&self, bytes: &[u8]) {
         let mut state = self.lock();
-        if state.blind {
+        if state.disabled {
             return;
         }
-        state.bytes.extend_from_slice(bytes);
+        state.unparsed.extend_from_slice(bytes);
         while let Some(head) = next_head(&mut state) {
-            let number = state.read;
-            state.read += 1;
+            let number = state.parsed;
+            state.parsed += 1;
             let is_behind = number > state.answered;
             if is_behind
-                && state.begun.len() < PIPELINED_MOST
-                && let Some(task) = self.begin(&head)
+                && state.started.len() < MAX_PIPELINED_CALLS
+                && let Some(task) = self.start(&head)
             {
-                state.begun.push_back((number, task));
+                state.started.push_back((number, task));
             }
         }
     }
 
-    fn take_prefetched(&self, room: usize) -> Option<BytesMut> {
+    fn take_prefetched(&self, capacity: usize) -> Option<BytesMut> {
         let mut state = self.lock();
-        let length = state.inbox.len().min(room);
-        (length > 0).then(|| state.inbox.split_to(length))
+        let length = state.prefetched.len().min(capacity);
+        (length > 0).then(|| state.prefetched.split_to(length))
     }
 }
 
-/// Takes the next whole head of a request without a body off the bytes read along.
+/// Splits off the next complete head of a request without a body; disables parsing on anything
+/// else.
 fn next_head(state: &mut State) -> Option<BytesMut> {
-    if state.blind || state.bytes.is_empty() {
+    if state.disabled || state.unparsed.is_empty() {
         return None;
     }
-    match measure(&state.bytes) {
-        Found::Plain(length) => return Some(state.bytes.split_to(length)),
-        Found::Part if state.bytes.len() < HEAD_MOST => return None,
-        Found::Part | Found::Other => {}
+    match classify(&state.unparsed) {
+        Prefix::Bodyless(length) => return Some(state.unparsed.split_to(length)),
+        Prefix::Partial if state.unparsed.len() < MAX_HEAD_BYTES => return None,
+        Prefix::Partial | Prefix::Other => {}
     }
-    state.blind = true;
-    state.bytes = BytesMut::new();
+    state.disabled = true;
+    state.unparsed = BytesMut::new();
     None
 }
 
-/// What the bytes of a connection begin with.
-enum Found {
-    /// The head of a request without a body, of this length.
-    Plain(usize),
-    /// A part of a head.
-    Part,
-    /// Anything else.
+/// What the unparsed bytes of a connection start with.
+enum Prefix {
+    /// The head of a request without a body, with its length in bytes.
+    Bodyless(usize),
+    /// An incomplete head.
+    Partial,
+    /// A request with a body, or a malformed head.
     Other,
 }
 
-/// Headers of requests behind which the next one does not begin at once.
-const SPECIAL: [header::HeaderName; 4] =
+/// Headers after which the next request does not start right behind the head.
+const FRAMING_HEADERS: [header::HeaderName; 4] =
     [header::CONTENT_LENGTH, header::TRANSFER_ENCODING, header::EXPECT, header::UPGRADE];
 
-fn measure(bytes: &[u8]) -> Found {
-    let mut headers = [EMPTY_HEADER; HEADERS_MOST];
+fn classify(bytes: &[u8]) -> Prefix {
+    let mut headers = [EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
     let length = match head.parse(bytes) {
         Ok(Status::Complete(length)) => length,
-        Ok(Status::Partial) => return Found::Part,
-        Err(_) => return Found::Other,
+        Ok(Status::Partial) => return Prefix::Partial,
+        Err(_) => return Prefix::Other,
     };
-    let is_special =
-        |name: &str| SPECIAL.iter().any(|special| name.eq_ignore_ascii_case(special.as_str()));
-    let has_body = head.headers.iter().any(|header| is_special(header.name));
-    let is_plain = matches!(head.method, Some("GET" | "HEAD")) && !has_body;
-    if is_plain { Found::Plain(length) } else { Found::Other }
+    let is_framing =
+        |name: &str| FRAMING_HEADERS.iter().any(|h| name.eq_ignore_ascii_case(h.as_str()));
+    let has_body = head.headers.iter().any(|header| is_framing(header.name));
+    let is_bodyless = matches!(head.method, Some("GET" | "HEAD")) && !has_body;
+    if is_bodyless { Prefix::Bodyless(length) } else { Prefix::Other }
 }
 
-/// Returns the request with this head as `hyper` would; none where that would refuse it.
-fn request(bytes: &[u8]) -> Option<Request<Inbound>> {
-    let mut headers = [EMPTY_HEADER; HEADERS_MOST];
+/// Parses a head into the request that `hyper` would deliver; none if `hyper` would reject it.
+fn parse_request(bytes: &[u8]) -> Option<Request<Inbound>> {
+    let mut headers = [EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
     head.parse(bytes).ok()?;
     let mut request = Request::new(Either::Right(Empty::<Bytes>::new()));
--- a/crates/traffic/src/intake/open.rs
+++ b/crates/traffic/src/intake/span.rs
@@ -1,4 +1,4 @@
-//! A caller's request from its head to its end, for the log.
+//! Traces a caller's request from its head to its response.
 
 use hyper::{Request, Response};
 use model::time::Time;
@@ -11,21 +11,21 @@
     wire::{self, header_text},
 };
 
-/// A caller's request until it is answered, or until the caller goes away and it is dropped.
-pub(crate) struct Open<'a> {
+/// Writes the trace of a request when it is answered, or on drop when the caller disconnects.
+pub(crate) struct Span<'a> {
     proxy: &'a Proxy,
     received: Time,
     pub(crate) trace: Trace,
     ended: bool,
 }
 
-impl<'a> Open<'a> {
+impl<'a> Span<'a> {
     pub(crate) fn new(proxy: &'a Proxy, request: &Request<Inbound>, received: Time) -> Self {
         let trace = Trace::new(request_id(proxy, request));
-        Open { proxy, received, trace, ended: false }
+        Span { proxy, received, trace, ended: false }
     }
 
-    /// Notes the answer.
+    /// Adds the response to the trace and writes it.
     pub(crate) fn end(&mut self, response: &Response<wire::Body>) {
         self.ended = true;
         let text = |name| header_text(response.headers(), name).unwrap_or_default();
@@ -43,8 +43,8 @@
             },
         );
         let is_late = self.trace.is_late(self.proxy.clock.now());
-        let went_well = outcome == wire::ANSWERED && !status.is_server_error() && !is_late;
-        let interest = if went_well { Interest::Usual } else { Interest::Notable };
+        let succeeded = outcome == wire::ANSWERED && !status.is_server_error() && !is_late;
+        let interest = if succeeded { Interest::Usual } else { Interest::Notable };
         self.trace.write(&self.proxy.log, interest);
     }
 
@@ -53,7 +53,7 @@
     }
 }
 
-impl Drop for Open<'_> {
+impl Drop for Span<'_> {
     fn drop(&mut self) {
         if !self.ended {
             self.trace.note(&self.proxy.log, Step::Abandoned { ms: self.elapsed_ms() });
@@ -62,7 +62,7 @@
     }
 }
 
-/// Returns the caller's id of a request, or one of this node where it gave none.
+/// Returns the caller's request id, or a new one if the caller sent none.
 fn request_id(proxy: &Proxy, request: &Request<Inbound>) -> String {
     let given = proxy.settings.names.request.clone();
     let given = given.and_then(|name| header_text(request.headers(), name));
--- a/crates/traffic/src/intake/upload.rs
+++ b/crates/traffic/src/intake/upload.rs
@@ -1,4 +1,4 @@
-//! Takes in the body of a caller's call, within the node's room.
+//! Receives the body of a caller's request, within the node's limits on calls and body bytes.
 
 use bytes::Bytes;
 use hyper::{HeaderMap, StatusCode};
@@ -15,20 +15,22 @@
     routing::target::Target,
 };
 
-/// A whole body, and the room that it and its call take up until this is dropped.
+/// A complete body, with the reservations of its call and bytes until it is dropped.
 pub(super) struct Upload<'a> {
     pub(super) body: Bytes,
     pub(super) guard: CallGuard<'a>,
     pub(super) reserved: Reservation<'a>,
 }
 
-/// Receives a body within the time that is `left` for its call.
+/// Receives a body within the profile's upload time and the call's `remaining` time.
+///
+/// Fails if the node is saturated or the body is too large, too slow or truncated.
 pub(super) async fn receive<'a>(
     proxy: &'a Proxy,
     target: &Target<'a>,
     headers: &HeaderMap,
     incoming: Inbound,
-    left: Duration,
+    remaining: Duration,
 ) -> Result<Upload<'a>, Refusal> {
     let guard =
         CallGuard::take(&proxy.in_flight, &proxy.services, target.service, proxy.tuning().capacity)
@@ -41,8 +43,8 @@
     if !reserved.extend(declared, proxy.tuning().capacity) {
         return Err(Refusal::of(Cause::Saturated));
     }
-    let time = Duration::from_millis(target.profile.upload_ms).min(left);
-    let body = body::receive(incoming, target.body_limit, time).await;
+    let timeout = Duration::from_millis(target.profile.upload_ms).min(remaining);
+    let body = body::receive(incoming, target.body_limit, timeout).await;
     let body = body.map_err(|fault| Refusal::bad_request(status_of(fault)))?;
     if !reserved.extend(body.len().saturating_sub(declared), proxy.tuning().capacity) {
         return Err(Refusal::of(Cause::Saturated));
--- a/crates/traffic/src/routing/schedule.rs
+++ b/crates/traffic/src/routing/schedule.rs
@@ -1,4 +1,4 @@
-//! Whose attempt a call is, by when it needs an answer, and how urgent it is.
+//! The schedule of a call: deadline, objective, priority rank and attempt.
 
 use hyper::http::request::Parts;
 use model::time::Time;
@@ -8,37 +8,39 @@
 use crate::{
     proxy::Proxy,
     routing::{
-        returning::{self, Caller},
+        client_retry::{self, Caller},
         target::Target,
     },
     wire,
 };
 
-/// The time of a call.
+/// When a call must be answered, and how urgent it is.
 pub(crate) struct Schedule {
     pub(crate) received: Time,
     pub(crate) deadline: Time,
     pub(crate) caller: Caller,
-    /// What is known of its time, if its route names an objective.
-    pub(crate) clock: Option<urgency::Timing>,
-    /// Who makes it.
+    /// Timing relative to the objective, if its route has one.
+    pub(crate) timing: Option<urgency::Timing>,
+    /// Whether a caller or an upstream's nested call made it.
     pub(crate) origin: urgency::Origin,
     pub(crate) rank: Rank,
 }
 
 impl Schedule {
-    /// Returns when an answer becomes late, if the route names an objective.
+    /// Returns when an answer becomes late, if the route has an objective.
     pub(crate) fn due(&self) -> Option<Time> {
-        self.clock.map(|clock| clock.due())
+        self.timing.map(|timing| timing.due())
     }
 
-    /// Returns by when a large body must begin to cross, if the route names an objective.
+    /// Returns by when the transfer of a large body must start, if the route has an objective.
     pub(crate) fn transfer_by(&self) -> Option<Time> {
-        self.clock.map(transfer::start_by)
+        self.timing.map(transfer::start_by)
     }
 }
 
-/// Reads the time of the call `id` from its head.
+/// Reads the schedule of the call with request id `id` from its head.
+///
+/// Fails if the deadline header is not a number.
 pub(crate) fn read(
     proxy: &Proxy,
     head: &Parts,
@@ -48,18 +50,25 @@
 ) -> Result<Schedule, wire::Malformed> {
     let remaining = wire::read_number(&head.headers, proxy.settings.names.deadline.clone())?;
     let deadline = claim::deadline(received, remaining, target.options.timeout_ms);
-    let left = remaining.map_or(deadline.since(received), Duration::from_millis);
-    let caller = returning::identify(proxy, &head.method, &head.uri, &head.headers, received, left);
-    let clock = clock(proxy, target, caller, received, deadline);
-    let work = proxy.running.parent_of(id);
-    let origin = work.map_or(urgency::Origin::Caller, urgency::Origin::Upstream);
-    let rank = clock
-        .map_or_else(Rank::default, |clock| urgency::rank(origin, target.options.priority, clock));
-    Ok(Schedule { received, deadline, caller, clock, origin, rank })
+    let caller_remaining = remaining.map_or(deadline.since(received), Duration::from_millis);
+    let caller = client_retry::identify(
+        proxy,
+        &head.method,
+        &head.uri,
+        &head.headers,
+        received,
+        caller_remaining,
+    );
+    let timing = timing(proxy, target, caller, received, deadline);
+    let parent = proxy.running.parent_of(id);
+    let origin = parent.map_or(urgency::Origin::Caller, urgency::Origin::Upstream);
+    let rank =
+        timing.map_or_else(Rank::default, |t| urgency::rank(origin, target.options.priority, t));
+    Ok(Schedule { received, deadline, caller, timing, origin, rank })
 }
 
-/// Returns what is known of the time of a call whose route names an objective.
-fn clock(
+/// Returns the timing of a call; none if its route has no objective.
+fn timing(
     proxy: &Proxy,
     target: &Target<'_>,
     caller: Caller,
@@ -72,7 +81,7 @@
         received,
         deadline,
         attempt: caller.attempt,
-        elapsed: received.since(caller.begun),
+        elapsed: received.since(caller.first_received),
         objective,
         expected: urgency::expected_time(latency, objective),
     })
--- a/crates/traffic/src/serving.rs
+++ b/crates/traffic/src/serving.rs
@@ -1,6 +1,6 @@
-//! The serving node's part: the only way to its upstream.
+//! The serving node's side of a call: every call to the colocated upstream is admitted here.
 //!
-//! Slots, leaving, deadlines and the claim are decided here, next to the upstream, on fresh facts.
+//! Slots, deadlines and all conditions of the claim are checked here, right before the call runs.
 
 use model::profile::Profile;
 use policy::{
@@ -15,11 +15,11 @@
     net::{pool::Connection, stream::SocketState},
     proxy::{Proxy, in_flight::OfferGuard},
     record::{Interest, Trace},
-    upstream::{self, Sent, end},
+    upstream::{self, Failure, crash},
     wire,
 };
 
-/// Runs an offered call on the own upstream, if it may be run.
+/// Runs an offered call on the colocated upstream, if the claim and the admission queue allow it.
 pub(crate) async fn run(
     proxy: &Arc<Proxy>,
     profile: &Profile,
@@ -29,7 +29,7 @@
     let result = attempt(proxy, profile, &offer, &trace).await;
     if let Err(Outcome::NotRun(cause, _)) = result {
         proxy.meter.count_refusal(cause.name());
-        note_claim(proxy, &offer, &trace, cause.name());
+        trace_claim(proxy, &offer, &trace, cause.name());
     }
     let interest = match &result {
         Ok(answer) if !answer.head.status().is_server_error() => Interest::Usual,
@@ -39,7 +39,7 @@
     result
 }
 
-/// Returns the caller's id of an offered request, or the attempt's number where it gave none.
+/// Returns the caller's request id of an offer, or the attempt's id if the caller sent none.
 fn offer_id(proxy: &Proxy, offer: &Offer) -> String {
     let name = proxy.settings.names.request.as_ref();
     let given = name.and_then(|name| offer.payload.headers.get(name)?.to_str().ok());
@@ -52,64 +52,64 @@
     offer: &Offer,
     trace: &Trace,
 ) -> Result<Answer, Outcome> {
-    let _in_hand = OfferGuard::new(&proxy.in_flight);
+    let _guard = OfferGuard::new(&proxy.in_flight);
     check_claim(proxy, offer)?;
     proxy.refresh_warm_up();
     let mut slot = proxy.slots.acquire(offer.rank, offer.deadline, profile.queue_limit).await?;
-    let kept = proxy.pool.take(proxy.settings.upstream, idle_limit(profile), offer.kind);
-    let was_kept = kept.is_some();
-    let connection = match kept {
+    let idle = proxy.pool.take(proxy.settings.upstream, idle_timeout(profile), offer.kind);
+    let was_reused = idle.is_some();
+    let connection = match idle {
         Some(connection) => connection,
         None => upstream::dial(proxy, offer).await?,
     };
-    note_claim(proxy, offer, trace, "run");
+    trace_claim(proxy, offer, trace, "run");
     let _running = proxy.running.begin(trace.id(), offer.rank);
-    let run = end::Run::begin(proxy, offer);
-    let result = send_noted(proxy, profile, offer, trace, connection, &mut slot).await;
+    let run = crash::Run::begin(proxy, offer);
+    let result = send_once(proxy, profile, offer, trace, connection, &mut slot).await;
     let result = match result {
-        // The upstream closed the kept connection in this moment; nothing was written on it.
-        Err(Sent::Not) if was_kept => match upstream::dial(proxy, offer).await {
-            Ok(connection) => send_noted(proxy, profile, offer, trace, connection, &mut slot).await,
-            Err(outcome) => Err(Sent::Lost(outcome)),
+        // The upstream closed the idle connection before anything was written.
+        Err(Failure::Unsent) if was_reused => match upstream::dial(proxy, offer).await {
+            Ok(connection) => send_once(proxy, profile, offer, trace, connection, &mut slot).await,
+            Err(outcome) => Err(Failure::Final(outcome)),
         },
         result => result,
     };
     run.end(&result);
-    result.map_err(Sent::outcome)
+    result.map_err(Failure::outcome)
 }
 
-/// Claims the call and sends it, and notes how that ended.
-async fn send_noted(
+/// Sends the call on one connection and traces the result.
+async fn send_once(
     proxy: &Proxy,
     profile: &Profile,
     offer: &Offer,
     trace: &Trace,
     connection: Connection,
     slot: &mut Permit,
-) -> Result<Answer, Sent> {
+) -> Result<Answer, Failure> {
     let begun = proxy.clock.now();
     let result = send(proxy, profile, offer, connection, slot).await;
-    note_run(proxy, offer, trace, &result, proxy.clock.now().since(begun));
+    trace_run(proxy, offer, trace, &result, proxy.clock.now().since(begun));
     result
 }
 
-/// Claims the call and sends it: from here on only a whole answer proves what happened.
+/// Checks the claim again and sends the call; from here on its outcome may be unknown.
 async fn send(
     proxy: &Proxy,
     profile: &Profile,
     offer: &Offer,
     connection: Connection,
     slot: &mut Permit,
-) -> Result<Answer, Sent> {
+) -> Result<Answer, Failure> {
     let request = upstream::request(proxy, offer);
     if let Err(outcome) = check_claim(proxy, offer) {
         proxy.pool.put(proxy.settings.upstream, connection);
-        return Err(Sent::Lost(outcome));
+        return Err(Failure::Final(outcome));
     }
     upstream::exchange(proxy, profile, offer, connection, request, slot).await
 }
 
-fn note_claim(proxy: &Proxy, offer: &Offer, trace: &Trace, decision: &str) {
+fn trace_claim(proxy: &Proxy, offer: &Offer, trace: &Trace, decision: &str) {
     let load = proxy.slots.load();
     let now = proxy.clock.now();
     trace.note(
@@ -126,24 +126,26 @@
     );
 }
 
-fn note_run(
+fn trace_run(
     proxy: &Proxy,
     offer: &Offer,
     trace: &Trace,
-    result: &Result<Answer, Sent>,
-    span: Duration,
+    result: &Result<Answer, Failure>,
+    elapsed: Duration,
 ) {
     let (outcome, status) = match result {
         Ok(answer) => (wire::ANSWERED, answer.head.status().as_u16()),
-        Err(Sent::Lost(outcome)) => (outcome.reason(), 0),
-        Err(Sent::Not) => return,
+        Err(Failure::Final(outcome)) => (outcome.reason(), 0),
+        Err(Failure::Unsent) => return,
     };
-    let ms = span.as_millis() as u64;
+    let ms = elapsed.as_millis() as u64;
     let step = trace::Step::Ran { attempt: offer.id, outcome: outcome.to_owned(), status, ms };
     trace.note(&proxy.log, step);
 }
 
-/// Keeps a turn for the body of an offer that is still to come, if the call would be taken.
+/// Reserves a transfer slot for the body of an offer, if the call would be admitted.
+///
+/// Returns the ticket that the body must be sent with.
 pub(crate) async fn reserve(
     proxy: &Proxy,
     profile: &Profile,
@@ -159,28 +161,31 @@
     Ok(ticket)
 }
 
-/// Checks every reason not to run the call on the facts of this moment.
+/// Checks every condition of the claim at the present time; fails with the outcome to report.
 fn check_claim(proxy: &Proxy, offer: &Offer) -> Result<(), Outcome> {
     let now = proxy.clock.now();
     let quarantined = proxy.quarantined(&offer.payload, &proxy.settings.service);
-    let facts = claim::Conditions {
+    let conditions = claim::Conditions {
         now,
         deadline: offer.deadline,
         paused: proxy.may_be_stale(offer.received, now),
         connected: offer.origin.socket_state() != SocketState::Closed,
         leaving: proxy.lifecycle.is_leaving() || proxy.has_left(offer.identity.as_deref()),
-        current_incarnation: proxy.settings.incarnation.is_none_or(|own| own == offer.incarnation)
+        current_incarnation: proxy
+            .settings
+            .incarnation
+            .is_none_or(|incarnation| incarnation == offer.incarnation)
             && !proxy.has_restarted(offer.identity.as_deref(), offer.started_ms),
         evacuated: proxy.is_evacuated(),
         quarantined: quarantined.is_some(),
     };
-    match (claim::refusal(facts), quarantined) {
+    match (claim::refusal(conditions), quarantined) {
         (None, _) => Ok(()),
         (Some(Cause::Quarantined), Some(outcome)) => Err(outcome),
         (Some(cause), _) => Err(cause.outcome()),
     }
 }
 
-fn idle_limit(profile: &Profile) -> Duration {
+fn idle_timeout(profile: &Profile) -> Duration {
     Duration::from_millis(profile.idle_ms)
 }
