--- a/crates/fleet/tests/fence.rs
+++ b/crates/fleet/tests/fence.rs
@@ -1,9 +1,9 @@
-//! The version fence takes higher, whole and acceptable versions only.
+//! The version fence accepts higher, complete and valid versions only.
 
 use fleet::fence::{Fence, Verdict};
 use model::document::{Delta, Document, Set};
 
-/// A version to offer: revision and text of its only profile.
+/// A version to offer: its revision and the text of its only profile.
 type Offer = (u64, &'static str);
 
 fn set((revision, text): Offer) -> Set {
@@ -27,7 +27,7 @@
     }
 }
 
-/// Offers versions in order and compares the verdicts, and the revision in force at the end.
+/// Offers versions in order; compares the verdicts and the resulting revision.
 #[track_caller]
 fn check(offers: &[Offer], expect: &[&str], revision: u64) {
     let mut fence = Fence::default();
@@ -41,8 +41,7 @@
 const OTHER: &str = r#"{"attempts": 2}"#;
 const BAD: &str = r#"{"attempts": 99}"#;
 
-/// Prices jump back to yesterday's routes: a lagging platform answers after a peer has already
-/// handed over a newer version, and the old one is applied over it.
+/// Guards against a lagging platform that replaces a newer version pulled from a peer.
 #[test]
 fn never_moves_back() {
     cov_mark::check!(fence_not_newer);
@@ -52,7 +51,7 @@
 }
 
 #[test]
-fn a_bad_version_leaves_the_old_one_in_force() {
+fn an_invalid_version_leaves_the_previous_one_in_force() {
     cov_mark::check!(fence_rejects);
     check(&[(5, GOOD), (6, BAD)], &["in force", "rejected"], 5);
     check(&[(6, BAD)], &["rejected"], 0);
@@ -60,12 +59,12 @@
 }
 
 #[test]
-fn a_bad_version_is_judged_once() {
+fn an_invalid_version_is_validated_once() {
     check(&[(6, BAD), (6, BAD)], &["rejected", "known bad"], 0);
 }
 
-/// Two data centres route by different rules under the same revision: the platform was restored
-/// from a copy and gave out a number twice. A node must report it and not follow the later one.
+/// Guards against nodes with different configurations after the platform reused a revision, for example
+/// after a restore from backup.
 #[test]
 fn two_contents_of_one_revision_are_a_conflict() {
     cov_mark::check!(fence_conflict);
@@ -73,17 +72,17 @@
     check(&[(5, GOOD), (5, OTHER), (6, OTHER)], &["in force", "conflict", "in force"], 6);
 }
 
-/// Compares what is known and what is expected after `offers`, where another node holds `heard`.
+/// Compares the known and the expected revision after `offers`, while another node holds
+/// `observed`.
 #[track_caller]
-fn check_expected(offers: &[Offer], heard: u64, known: u64, expected: u64) {
+fn check_expected(offers: &[Offer], observed: u64, known: u64, expected: u64) {
     let mut fence = Fence::default();
     offers.iter().for_each(|&offer| drop(fence.offer(set(offer))));
-    fence.observe(heard);
+    fence.observe(observed);
     assert_eq!((fence.known(), fence.expected()), (known, expected));
 }
 
-/// A node that refuses the newest version turns callers away as one that is behind, for ever: what it
-/// has refused it is not going to hold.
+/// Guards against a node that makes callers wait for a version that it has rejected.
 #[test]
 fn a_refused_version_is_not_expected() {
     check_expected(&[], 0, 0, 0);
--- a/crates/fleet/tests/matrix.rs
+++ b/crates/fleet/tests/matrix.rs
@@ -1,4 +1,4 @@
-//! The fault matrix of the spread: every fault at every step of a version's way to all nodes.
+//! Fault matrix: every fault at every step of the propagation of a version.
 
 use standins::{
     memory::{Net, Options, Source},
@@ -9,12 +9,11 @@
 
 const NODES: usize = 6;
 
-/// A version reaches all six nodes within about 15 ms of virtual time, so that these steps cover
-/// the read, its answer, each announcement, each pull and each delivery.
+/// Steps of 1 ms. A version reaches all nodes within about 15 ms of virtual time.
 const STEPS: u64 = 20;
 
-/// How long a fault lasts.
-const SPAN: Duration = Duration::from_secs(4);
+/// Duration of a fault.
+const FAULT_TIME: Duration = Duration::from_secs(4);
 
 #[derive(Clone, Copy, Debug)]
 enum Fault {
@@ -53,11 +52,11 @@
     Fault::Leave,
 ];
 
-fn inflict(net: &mut Net, fault: Fault, node: usize) {
+fn inject(net: &mut Net, fault: Fault, node: usize) {
     match fault {
         Fault::Kill => net.kill(node),
         Fault::Restart => net.start(node),
-        Fault::Pause => net.pause(node, SPAN),
+        Fault::Pause => net.pause(node, FAULT_TIME),
         Fault::Separate => net.separate(node, 1),
         Fault::Halve => (0..NODES / 2).for_each(|n| net.separate(n, 1)),
         Fault::Crash => net.loss = 60,
@@ -90,7 +89,8 @@
     net.publish("profiles/bad", Some("{}"));
 }
 
-/// Publishes a version, inflicts `fault` after `step` ms, heals it and compares the end.
+/// Publishes a version, injects `fault` after `step` ms, heals it and checks that all nodes
+/// converge.
 #[track_caller]
 fn check(fault: Fault, step: u64, node: usize) {
     let mut net = Net::new(Options { nodes: NODES, seed: step + 1, ..Options::default() });
@@ -99,19 +99,18 @@
     net.run(Duration::from_secs(3));
     net.publish("profiles/base", Some(r#"{"attempts": 2}"#));
     net.run(Duration::from_millis(step));
-    inflict(&mut net, fault, node);
-    net.run(SPAN);
+    inject(&mut net, fault, node);
+    net.run(FAULT_TIME);
     heal(&mut net);
     let newest = net.newest_good();
     let healed = net.run_until_in_force(newest, BOUND);
-    let place = format!("{fault:?} at step {step} of node {node}");
-    assert_eq!(net.broken, Vec::<String>::new(), "{place}");
-    assert!(healed.is_some(), "{place}: not everywhere in force");
-    assert!(net.peak <= READS_PER_SECOND, "{place}: {} reads", net.peak);
+    let case = format!("{fault:?} at step {step} of node {node}");
+    assert_eq!(net.broken, Vec::<String>::new(), "{case}");
+    assert!(healed.is_some(), "{case}: not everywhere in force");
+    assert!(net.peak <= READS_PER_SECOND, "{case}: {} reads", net.peak);
 }
 
-/// Half of the tills follow the new prices and half the old ones all day: a node died, froze, was
-/// cut off or lost a message at one particular step of a version's way, and nothing made up for it.
+/// Guards against nodes that stay on an old version after a fault at one particular step.
 #[test]
 fn every_fault_at_every_step_heals() {
     for fault in FAULTS {
--- a/crates/fleet/tests/member.rs
+++ b/crates/fleet/tests/member.rs
@@ -1,4 +1,4 @@
-//! Which of two statements about a node holds.
+//! Which of two records about a node wins.
 
 use fleet::{
     member::{Record, State},
@@ -25,11 +25,11 @@
     }
 }
 
-/// Learns statements about another node in order; compares the state held at the end.
+/// Merges records of another node in order; compares the resulting state.
 #[track_caller]
-fn check(statements: &[(u64, u64, State)], expect: State) {
+fn check(records: &[(u64, u64, State)], expect: State) {
     let mut roster = Roster::new(record(1, 1, 0, State::Live), Time::default());
-    for &(incarnation, sequence, state) in statements {
+    for &(incarnation, sequence, state) in records {
         roster.learn(
             &record(2, incarnation, sequence, state),
             Propagation::Gossip,
@@ -40,10 +40,9 @@
     assert_eq!(held, Some(expect));
 }
 
-/// A cut sale: calls go to a node that has said farewell, because an older "live" about it was
-/// still on its way and arrived last.
+/// Guards against calls to a node that has left.
 #[test]
-fn a_late_statement_does_not_revive() {
+fn a_delayed_record_does_not_revive_a_node() {
     check(&[(1, 3, State::Leaving), (1, 4, State::Live)], State::Leaving);
     check(&[(1, 3, State::Live), (1, 3, State::Gone), (1, 9, State::Live)], State::Gone);
     check(&[(2, 0, State::Live), (1, 9, State::Gone)], State::Live);
@@ -57,13 +56,13 @@
 }
 
 #[test]
-fn a_new_life_replaces_the_old_one() {
+fn a_new_incarnation_replaces_the_old_one() {
     check(&[(1, 5, State::Gone), (2, 0, State::Live)], State::Live);
     check(&[(1, 5, State::Leaving), (2, 0, State::Live)], State::Live);
 }
 
 #[test]
-fn a_node_contradicts_what_is_wrong_about_itself() {
+fn a_node_refutes_wrong_records_about_itself() {
     cov_mark::check!(suspicion_refuted);
     cov_mark::check!(incarnation_raised);
     let mut roster = Roster::new(record(1, 5, 0, State::Live), Time::default());
@@ -78,7 +77,7 @@
     assert_eq!(roster.own().state, State::Live);
 }
 
-/// A statement about one node; small numbers, so that statements often compete.
+/// A random record; small numbers, so that records often compete.
 #[derive(Clone, Debug)]
 struct Statement(Record);
 
@@ -92,16 +91,16 @@
 }
 
 #[test]
-fn the_order_of_statements_does_not_matter() {
-    fn property(statements: Vec<Statement>) -> bool {
-        let learn = |statements: &mut dyn Iterator<Item = &Statement>| {
+fn the_order_of_records_does_not_matter() {
+    fn property(records: Vec<Statement>) -> bool {
+        let learn = |records: &mut dyn Iterator<Item = &Statement>| {
             let mut roster = Roster::new(record(1, 1, 0, State::Live), Time::default());
-            for Statement(record) in statements {
+            for Statement(record) in records {
                 roster.learn(record, Propagation::Gossip, Time::default());
             }
             roster.digest()
         };
-        learn(&mut statements.iter()) == learn(&mut statements.iter().rev())
+        learn(&mut records.iter()) == learn(&mut records.iter().rev())
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(20, SEED))
@@ -109,7 +108,7 @@
 }
 
 #[test]
-fn records_that_no_node_would_write_are_told() {
+fn invalid_records_are_detected() {
     let good = record(2, 1, 1, State::Live);
     let named = |name: &str| Record { service: name.to_owned(), ..good.clone() };
     assert_eq!(good.fault(), None);
--- a/crates/fleet/tests/quarantine.rs
+++ b/crates/fleet/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that end upstreams, as all nodes come to know of them.
+//! Nodes learn of poison requests by gossip and quarantine them.
 
 mod net;
 
@@ -17,93 +17,93 @@
 
 /// Nodes in four data centres.
 const NODES: usize = 12;
-const PLACES: [&str; 4] = ["a", "b", "c", "d"];
+const DATA_CENTRES: [&str; 4] = ["a", "b", "c", "d"];
 
-/// Time in which all nodes in touch know of a request that has ended enough upstreams, in ms.
-const KNOWN: u64 = 1_000;
+/// Time limit for all connected nodes to learn of a quarantine, in ms.
+const LIMIT_MS: u64 = 1_000;
 
-/// Time that passes in the tests of the register alone.
-const MINUTE: u64 = 60_000;
+/// Milliseconds in a minute.
+const MINUTE_MS: u64 = 60_000;
 
 fn at(ms: u64) -> Time {
     Time::from_millis(ms)
 }
 
-fn loss(end: u32, requests: &[Fingerprint]) -> Crash {
+fn crash(end: u32, requests: &[Fingerprint]) -> Crash {
     let suspect = |request: &Fingerprint| Suspect { request: *request, label: String::new() };
     Crash { end: End(end), suspects: requests.iter().map(suspect).collect() }
 }
 
-fn calm(places: &[&'static str], nodes: usize) -> Net {
-    let zones: Vec<&'static str> = (0..nodes).map(|n| places[n * places.len() / nodes]).collect();
+fn converged(data_centres: &[&'static str], nodes: usize) -> Net {
+    let zones: Vec<&'static str> =
+        (0..nodes).map(|n| data_centres[n * data_centres.len() / nodes]).collect();
     let mut net = Net::new(&zones);
     net.until(6_000, |net| net.all(|n| n.open && n.view.iter().count() == nodes));
     net.run(1_000);
     net
 }
 
-fn end(net: &mut Net, node: usize, requests: &[Fingerprint]) {
-    net.tell(node, Event::UpstreamEnded(loss(node as u32, requests)));
+fn crash_upstream(net: &mut Net, node: usize, requests: &[Fingerprint]) {
+    net.tell(node, Event::UpstreamEnded(crash(node as u32, requests)));
 }
 
-fn is_held(net: &Net, request: Fingerprint) -> bool {
+fn is_quarantined(net: &Net, request: Fingerprint) -> bool {
     net.all(|node| node.quarantine.until.contains_key(&request))
 }
 
-/// A lookup ends three upstreams beside three nodes, and the caller asks at a fourth, which has seen nothing.
+/// Guards against a poison request that moves on to nodes that have not seen a crash.
 #[test]
-fn what_three_nodes_saw_once_each_is_known_everywhere() {
-    let mut net = calm(&PLACES, NODES);
+fn crashes_at_three_nodes_quarantine_the_request_everywhere() {
+    let mut net = converged(&DATA_CENTRES, NODES);
     for node in [0, 4, 8] {
-        assert!(!is_held(&net, FATAL));
-        end(&mut net, node, &[FATAL, Fingerprint(node as u64 + 100)]);
+        assert!(!is_quarantined(&net, FATAL));
+        crash_upstream(&mut net, node, &[FATAL, Fingerprint(node as u64 + 100)]);
     }
-    net.until(KNOWN, |net| is_held(net, FATAL));
+    net.until(LIMIT_MS, |net| is_quarantined(net, FATAL));
     assert!(net.all(|node| node.quarantine.until.len() == 1), "bystanders run on");
 }
 
-/// The node that saw the last end is killed in the next moment; the lookup goes on to the others.
+/// Guards against losing a report when its node is killed right after the crash.
 #[test]
-fn what_a_node_saw_outlives_it() {
-    let mut net = calm(&PLACES, NODES);
+fn a_crash_report_outlives_its_node() {
+    let mut net = converged(&DATA_CENTRES, NODES);
     for node in [0, 4, 8] {
-        end(&mut net, node, &[FATAL]);
+        crash_upstream(&mut net, node, &[FATAL]);
         net.run(3);
         net.kill(node);
     }
-    net.until(KNOWN, |net| is_held(net, FATAL));
+    net.until(LIMIT_MS, |net| is_quarantined(net, FATAL));
 }
 
-/// The only words of an end are lost on the way to some; they hear it from others.
+/// Guards against missing a crash when the first reports of it are lost.
 #[test]
-fn lost_words_are_made_good() {
-    let mut net = calm(&PLACES, NODES);
+fn lost_reports_arrive_by_other_nodes() {
+    let mut net = converged(&DATA_CENTRES, NODES);
     net.lossy_summaries = 2;
     for node in [0, 4, 8] {
-        end(&mut net, node, &[FATAL]);
+        crash_upstream(&mut net, node, &[FATAL]);
     }
-    net.until(KNOWN, |net| is_held(net, FATAL));
+    net.until(LIMIT_MS, |net| is_quarantined(net, FATAL));
 }
 
-/// A node starts again, and the first thing that it is asked is the lookup that ended its upstream before.
+/// Guards against a restarted node that runs a poison request first.
 #[test]
-fn a_node_that_starts_learns_of_it() {
-    let mut net = calm(&PLACES, NODES);
+fn a_restarted_node_learns_of_the_quarantine() {
+    let mut net = converged(&DATA_CENTRES, NODES);
     for node in [0, 4, 8] {
-        end(&mut net, node, &[FATAL]);
+        crash_upstream(&mut net, node, &[FATAL]);
     }
     net.run(30_000);
     net.kill(3);
     net.run(500);
     net.start(3);
-    net.until(2 * KNOWN, |net| is_held(net, FATAL));
+    net.until(2 * LIMIT_MS, |net| is_quarantined(net, FATAL));
 }
 
-/// A data centre is cut off while the lookup ends upstreams elsewhere. Its callers bring the lookup after the
-/// cut.
+/// Guards against running a poison request in a data centre that was partitioned during the crashes.
 #[test]
-fn a_data_centre_that_was_cut_off_learns_of_it() {
-    let mut net = calm(&PLACES, NODES);
+fn a_partitioned_data_centre_learns_of_the_quarantine_afterwards() {
+    let mut net = converged(&DATA_CENTRES, NODES);
     let (inside, outside): (Vec<usize>, Vec<usize>) = (0..NODES).partition(|n| *n < 3);
     let cut = |net: &mut Net, cut| {
         for a in &inside {
@@ -112,76 +112,74 @@
     };
     cut(&mut net, true);
     for node in [4, 7, 10] {
-        end(&mut net, node, &[FATAL]);
+        crash_upstream(&mut net, node, &[FATAL]);
     }
     net.run(20_000);
     assert!(net.node(0).quarantine.until.is_empty());
     cut(&mut net, false);
-    net.until(2 * KNOWN, |net| is_held(net, FATAL));
+    net.until(2 * LIMIT_MS, |net| is_quarantined(net, FATAL));
 }
 
-/// A large outage ends forty upstreams, and what ran there fills the nodes' summaries; a node that starts in the
-/// middle of it runs the lookup.
+/// Guards against reports of a large outage that displace those of a poison request.
 #[test]
-fn a_node_that_starts_in_an_outage_learns_of_it() {
-    let mut net = calm(&PLACES, 40);
+fn a_node_restarted_during_an_outage_learns_of_the_quarantine() {
+    let mut net = converged(&DATA_CENTRES, 40);
     for node in [0, 4, 8] {
-        end(&mut net, node, &[FATAL]);
+        crash_upstream(&mut net, node, &[FATAL]);
     }
     net.run(5_000);
     net.kill(3);
     for node in 4..40 {
         let ran: Vec<Fingerprint> = (0..8).map(|n| Fingerprint(node as u64 * 100 + n)).collect();
-        net.tell(node, Event::UpstreamEnded(loss(1_000 + node as u32, &ran)));
+        net.tell(node, Event::UpstreamEnded(crash(1_000 + node as u32, &ran)));
     }
     net.run(500);
     net.start(3);
-    net.until(2 * KNOWN, |net| is_held(net, FATAL));
+    net.until(2 * LIMIT_MS, |net| is_quarantined(net, FATAL));
 }
 
-/// Callers of a popular page are turned away for minutes, since copies of it ran on all upstreams that an
-/// outage took. One node answered it a moment before.
+/// Guards against quarantining a popular request that ran on all upstreams that an outage took down.
 #[test]
 fn an_answer_anywhere_clears_a_request() {
-    let mut net = calm(&PLACES, NODES);
+    let mut net = converged(&DATA_CENTRES, NODES);
     for node in [0, 4, 8] {
-        end(&mut net, node, &[FATAL, OTHER]);
+        crash_upstream(&mut net, node, &[FATAL, OTHER]);
     }
-    net.until(KNOWN, |net| is_held(net, OTHER));
+    net.until(LIMIT_MS, |net| is_quarantined(net, OTHER));
     net.tell(2, Event::Cleared(OTHER));
     let is_cleared = |net: &Net| net.all(|node| !node.quarantine.until.contains_key(&OTHER));
-    net.until(KNOWN, is_cleared);
+    net.until(LIMIT_MS, is_cleared);
     net.run(10_000);
-    assert!(is_cleared(&net) && is_held(&net, FATAL));
+    assert!(is_cleared(&net) && is_quarantined(&net, FATAL));
 }
 
-/// Hundreds of nodes, of which each speaks to a few of other data centres in a second.
+/// Guards against slow propagation where each node gossips with few nodes of other data centres.
 #[test]
-fn hundreds_of_nodes_know_in_time() {
+fn hundreds_of_nodes_learn_of_the_quarantine_in_time() {
     const LARGE: [&str; 5] = ["a", "b", "c", "d", "e"];
-    let mut net = calm(&LARGE, 295);
+    let mut net = converged(&LARGE, 295);
     net.lossy_summaries = 3;
     for node in [10, 100, 290] {
-        end(&mut net, node, &[FATAL, Fingerprint(node as u64 + 100)]);
+        crash_upstream(&mut net, node, &[FATAL, Fingerprint(node as u64 + 100)]);
         net.run(3);
         net.kill(node);
     }
-    net.until(2 * KNOWN, |net| is_held(net, FATAL));
+    net.until(2 * LIMIT_MS, |net| is_quarantined(net, FATAL));
 }
 
-/// What the nodes tell each other of it costs nothing where nothing ends, and little where much does.
+/// Guards against gossip about crashes that does not stop.
 #[test]
-fn reports_end() {
-    let mut net = calm(&PLACES, NODES);
+fn reports_stop() {
+    let mut net = converged(&DATA_CENTRES, NODES);
     for node in 0..NODES {
         let ran: Vec<Fingerprint> = (0..11).map(|n| Fingerprint(node as u64 * 100 + n)).collect();
-        end(&mut net, node, &ran);
+        crash_upstream(&mut net, node, &ran);
     }
     net.run(20_000);
     let before: u64 = net.heard_bytes.iter().sum();
     net.run(10_000);
     let after: u64 = net.heard_bytes.iter().sum();
-    let mut idle = calm(&PLACES, NODES);
+    let mut idle = converged(&DATA_CENTRES, NODES);
     idle.run(20_000);
     let idle_before: u64 = idle.heard_bytes.iter().sum();
     idle.run(10_000);
@@ -190,15 +188,14 @@
     assert!(told <= usual + usual / 20, "{told} bytes in ten seconds, usually {usual}");
 }
 
-/// For as long as requests are quarantined, their reports fill the links of nodes, which may spend 8 KB a second on
-/// control.
+/// Guards against quarantine reports that exceed the control traffic budget of 8 KB/s per node.
 #[test]
-fn what_is_quarantined_is_told_at_a_small_cost() {
-    let mut net = calm(&PLACES, NODES);
+fn gossip_about_quarantined_requests_is_bounded() {
+    let mut net = converged(&DATA_CENTRES, NODES);
     for request in 0..40 {
         for number in 0..3 {
-            let loss = loss(request * 3 + number, &[Fingerprint(request.into())]);
-            net.tell(number as usize * 4, Event::UpstreamEnded(loss));
+            let crash = crash(request * 3 + number, &[Fingerprint(request.into())]);
+            net.tell(number as usize * 4, Event::UpstreamEnded(crash));
         }
     }
     net.run(30_000);
@@ -208,21 +205,20 @@
     assert!(a_node < 8_000, "{a_node} bytes a second and node");
     net.kill(3);
     net.start(3);
-    net.until(3 * KNOWN, |net| net.all(|node| node.quarantine.until.len() == 40));
+    net.until(3 * LIMIT_MS, |net| net.all(|node| node.quarantine.until.len() == 40));
 }
 
-/// Ends under one request at the given times, in minutes; whether it may run after the last, and when it may
-/// again.
+/// Records crashes of one request at the given minutes; compares the end of its quarantine.
 #[track_caller]
-fn check(ends: &[u64], held_until: Option<u64>) {
+fn check(ends: &[u64], quarantined_until: Option<u64>) {
     let mut register = Register::default();
     for (number, minute) in ends.iter().enumerate() {
-        let now = at(minute * MINUTE);
-        register.note_end(&loss(number as u32, &[FATAL]), now);
+        let now = at(minute * MINUTE_MS);
+        register.note_end(&crash(number as u32, &[FATAL]), now);
         register.refresh(now);
     }
     let until = register.current().until.get(&FATAL).copied();
-    assert_eq!(until, held_until.map(|minute| at(minute * MINUTE)));
+    assert_eq!(until, quarantined_until.map(|minute| at(minute * MINUTE_MS)));
     if let Some(until) = until {
         let changes = register.refresh(until).expect("its time is over");
         assert_eq!(changes, [Change::Released { request: FATAL }]);
@@ -230,7 +226,7 @@
 }
 
 #[test]
-fn each_further_end_doubles_the_time() {
+fn each_further_crash_doubles_the_quarantine() {
     check(&[0, 0], None);
     check(&[0, 0, 0], Some(10));
     check(&[0, 4, 8], Some(18));
@@ -240,32 +236,32 @@
 }
 
 #[test]
-fn ends_that_lie_far_apart_are_chance() {
+fn crashes_far_apart_do_not_quarantine_a_request() {
     check(&[0, 11, 22, 33], None);
 }
 
-/// Many callers end upstreams under ever new requests, and the nodes forget the one that they refuse.
+/// Guards against crashes under ever new requests that evict a quarantined one.
 #[test]
 fn new_suspects_do_not_displace_a_quarantined_request() {
     let mut register = Register::default();
     for number in 0..3 {
-        register.note_end(&loss(number, &[FATAL]), at(0));
+        register.note_end(&crash(number, &[FATAL]), at(0));
     }
     for number in 1_000..9_000 {
-        register.note_end(&loss(number as u32, &[Fingerprint(number)]), at(number));
+        register.note_end(&crash(number as u32, &[Fingerprint(number)]), at(number));
     }
     register.refresh(at(9_000));
     assert!(register.current().until.contains_key(&FATAL));
     assert!(register.current().suspects.len() <= 512);
 }
 
-/// Two nodes tell each other the same for ever, each time as news.
+/// Guards against two nodes that exchange the same reports as new forever.
 #[test]
-fn what_is_known_is_no_news() {
+fn known_crashes_are_not_reported_as_new() {
     let (mut one, mut other) = (Register::default(), Register::default());
     for number in 0..9 {
-        one.note_end(&loss(number, &[FATAL]), at(number.into()));
-        other.note_end(&loss(number + 50, &[FATAL]), at(number.into()));
+        one.note_end(&crash(number, &[FATAL]), at(number.into()));
+        other.note_end(&crash(number + 50, &[FATAL]), at(number.into()));
     }
     let exchange = |from: &mut Register, to: &mut Register, now: u64| {
         let reports: Vec<Report> = from.next_reports(9, at(now));
@@ -279,38 +275,36 @@
     }
 }
 
-/// A read ran beside the request that ended two upstreams, and a third upstream ended by itself: callers of the
-/// read are turned away, before the first upstream is back to answer it.
+/// Guards against quarantining a request that ran next to the cause of two crashes and had a third of
+/// its own.
 #[test]
-fn what_ran_beside_the_cause_is_not_blamed_for_its_ends() {
+fn concurrent_requests_are_not_blamed_for_the_same_crashes() {
     let mut register = Register::default();
-    register.note_end(&loss(1, &[FATAL]), at(15));
-    register.note_end(&loss(2, &[FATAL, OTHER]), at(23));
-    register.note_end(&loss(3, &[FATAL, OTHER]), at(29));
-    register.note_end(&loss(4, &[OTHER]), at(367));
+    register.note_end(&crash(1, &[FATAL]), at(15));
+    register.note_end(&crash(2, &[FATAL, OTHER]), at(23));
+    register.note_end(&crash(3, &[FATAL, OTHER]), at(29));
+    register.note_end(&crash(4, &[OTHER]), at(367));
     register.refresh(at(367));
     let held: Vec<&Fingerprint> = register.current().until.keys().collect();
     assert_eq!(held, [&FATAL]);
 }
 
-/// Two requests ran at the same three ends. One of them goes on to end a fourth.
 #[test]
-fn of_two_that_ran_at_the_same_ends_both_are_held_until_one_ends_more() {
+fn two_requests_with_the_same_crashes_are_both_quarantined_until_one_has_more() {
     let mut register = Register::default();
     for end in 0..3 {
-        register.note_end(&loss(end, &[FATAL, OTHER]), at(0));
+        register.note_end(&crash(end, &[FATAL, OTHER]), at(0));
     }
     register.refresh(at(0));
     assert_eq!(register.current().until.len(), 2);
-    register.note_end(&loss(3, &[FATAL]), at(10));
-    let changes = register.refresh(at(10)).expect("an end is news");
+    register.note_end(&crash(3, &[FATAL]), at(10));
+    let changes = register.refresh(at(10)).expect("a crash is news");
     assert_eq!(changes, [Change::Released { request: OTHER }]);
 }
 
-/// One node refuses a page for ten minutes that all others serve: it heard that the page was answered before it
-/// heard of the ends, and kept the ends alone.
+/// Guards against a node that keeps crashes which an answer received earlier has cleared.
 #[test]
-fn an_answer_that_overtakes_the_ends_clears_them() {
+fn an_answer_that_arrives_before_the_crash_reports_clears_them() {
     let mut register = Register::default();
     let ends = (0..3).map(End).collect();
     let answer = Report { request: OTHER, ends: Vec::new(), answered: true, age_ms: 500 };
@@ -321,13 +315,13 @@
     assert!(register.current().until.is_empty());
 }
 
-/// An answer of before the ends clears as long as a call lasts, and not for ever: a request may become fatal.
+/// An answer clears crashes for as long as a call may last: a request may become fatal later.
 #[test]
-fn an_old_answer_clears_nothing() {
+fn an_old_answer_clears_no_later_crash() {
     let mut register = Register::default();
     let answered = Report { request: FATAL, ends: Vec::new(), answered: true, age_ms: 20_000 };
     for number in 0..3 {
-        register.note_end(&loss(number, &[FATAL]), at(30_000));
+        register.note_end(&crash(number, &[FATAL]), at(30_000));
     }
     assert!(!register.merge(std::slice::from_ref(&answered), at(30_000)));
     assert!(register.merge(&[Report { age_ms: 5_000, ..answered }], at(30_000)));
--- a/crates/fleet/tests/script.rs
+++ b/crates/fleet/tests/script.rs
@@ -3,17 +3,16 @@
 use quickcheck::{Gen, QuickCheck, TestResult};
 use standins::script::{self, Action};
 
-/// Seed of the scripts that CI runs; `cargo xtask fuzz` runs others, and more.
+/// Seed of the scripts run by CI; `cargo xtask fuzz` runs others.
 const SEED: u64 = 20_261_202;
 
 const SCRIPTS: u64 = 150;
-const LENGTH: usize = 25;
+const MAX_ACTIONS: usize = 25;
 
-/// A grocer's lookups follow an old profile for the rest of the day: after some order of restarts,
-/// cuts, pauses, outages and crossed messages a node has moved back, taken half a version, or
-/// stopped learning. No single cause; this looks for one.
+/// Guards against sequences of faults after which a node goes back to an old version, serves a partial
+/// one, or no longer updates.
 #[test]
-fn random_faults_never_break_the_promises() {
+fn random_faults_never_violate_the_invariants() {
     fn property(actions: Vec<Action>, seed: u64) -> TestResult {
         match script::run(&actions, seed) {
             Ok(()) => TestResult::passed(),
@@ -21,7 +20,7 @@
         }
     }
     QuickCheck::new()
-        .rng(Gen::from_size_and_seed(LENGTH, SEED))
+        .rng(Gen::from_size_and_seed(MAX_ACTIONS, SEED))
         .tests(SCRIPTS)
         .quickcheck(property as fn(Vec<Action>, u64) -> TestResult);
 }
