--- a/crates/fleet/src/control.rs
+++ b/crates/fleet/src/control.rs
@@ -181,7 +181,7 @@
             Event::Resumed(pause) => self.handle_pause(pause, now),
             Event::Request(request) => self.handle_request(request, now),
             Event::Response(peer, response) => self.handle_response(peer, response, now),
-            Event::Failed(peer, lost) => self.handle_failure(peer, lost, now),
+            Event::Failed(peer, error) => self.handle_failure(peer, error, now),
             // Only nodes in listed mode send digests.
             Event::Digest(_) => {}
             Event::Source(answer) => self.handle_source(answer, now),
@@ -304,11 +304,11 @@
         }
     }
 
-    fn handle_failure(&mut self, peer: SocketAddr, lost: Error, now: Now) {
-        if let Some(reason) = lost.malformed {
+    fn handle_failure(&mut self, peer: SocketAddr, error: Error, now: Now) {
+        if let Some(reason) = error.malformed {
             self.record(Kind::BadMessage { peer, reason }, now);
         }
-        match lost.method {
+        match error.method {
             Method::Heartbeat => self.suspect(peer, now),
             Method::Pull => self.abandon_pull(peer, now),
             Method::Sync | Method::Fetch => {}
@@ -360,8 +360,8 @@
     /// Only the node itself can refute a suspicion, so it has to learn of it.
     fn heartbeat_for(&mut self, peer: SocketAddr, now: Now) -> Heartbeat {
         let mut heartbeat = self.heartbeat(now);
-        let believed = self.roster.get(peer).filter(|r| r.state != State::Live);
-        if let Some(record) = believed.filter(|r| !heartbeat.rumours.contains(r)).cloned() {
+        let suspected = self.roster.get(peer).filter(|r| r.state != State::Live);
+        if let Some(record) = suspected.filter(|r| !heartbeat.rumours.contains(r)).cloned() {
             heartbeat.rumours.push(record);
         }
         heartbeat
--- a/crates/fleet/src/control/fleet.rs
+++ b/crates/fleet/src/control/fleet.rs
@@ -150,14 +150,14 @@
     fn remove_unlisted(&mut self, listing: &Listing, now: Now) {
         let present: std::collections::BTreeMap<SocketAddr, String> =
             listing.instances.iter().map(|i| (i.address, i.instance.clone())).collect();
-        let lost: Vec<(SocketAddr, String)> = self
+        let removed: Vec<(SocketAddr, String)> = self
             .listing
             .iter()
             .filter(|(address, instance)| present.get(*address) != Some(*instance))
             .map(|(&address, instance)| (address, instance.clone()))
             .collect();
         let before = self.listing.len();
-        if before >= MIN_SHRINK_CHECK_LEN && lost.len() * 100 > before * MAX_SHRINK_PERCENT {
+        if before >= MIN_SHRINK_CHECK_LEN && removed.len() * 100 > before * MAX_SHRINK_PERCENT {
             // A platform that lost its records lists almost no instance; removing the others would
             // take their upstreams out of service.
             cov_mark::hit!(listing_shrinks);
@@ -165,7 +165,7 @@
         }
         self.candidates.retain(|a| present.contains_key(a) || self.settings.seeds.contains(a));
         self.listing = present;
-        for (address, instance) in lost {
+        for (address, instance) in removed {
             let state = match self.roster.get(address) {
                 Some(r) if r.instance == instance && r.state == State::Unreachable => State::Gone,
                 Some(r) if r.instance == instance && !r.state.is_final() => State::Leaving,
--- a/crates/fleet/src/fence.rs
+++ b/crates/fleet/src/fence.rs
@@ -124,9 +124,9 @@
 
     /// Returns the remembered rejections as shown to operators.
     pub fn rejections(&self) -> Vec<status::Rejected> {
-        let told =
+        let rejected =
             |r: &Rejection| status::Rejected { version: r.version, faults: r.faults.clone() };
-        self.rejected.iter().map(told).collect()
+        self.rejected.iter().map(rejected).collect()
     }
 
     /// Returns the documents in force.
--- a/crates/fleet/src/quarantine.rs
+++ b/crates/fleet/src/quarantine.rs
@@ -45,7 +45,7 @@
 /// The same for a request with one crash: most of these are not the cause.
 const FIRST_END_TRANSMISSIONS: u32 = 2;
 
-/// Identifier of one crash of an upstream process, drawn at random by its node.
+/// Identifier of one crash of an upstream process, chosen at random by its node.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct End(pub u32);
 
--- a/crates/fleet/tests/directory.rs
+++ b/crates/fleet/tests/directory.rs
@@ -150,12 +150,12 @@
     let mut replica = check_incarnations(writes, &[Some(Change::Listed)]);
     let removed = Update { removed: vec![removal("a", 3)], ..update(Some(2), 3) };
     replica.apply(removed, NO_GRACE, at(1)).expect("it follows on");
-    let mut told = Directory::default();
-    told.apply(update(None, 1), NO_GRACE, at(1)).expect("it holds the whole list");
-    told.apply(replica.since(Some(1), at(2)), NO_GRACE, at(2)).expect("it follows on");
-    for replica in [&mut replica, &mut told] {
-        let former = incarnation(4, Some(100), Standing::Ready);
-        let late = Update { entries: vec![former], ..update(Some(3), 4) };
+    let mut peer = Directory::default();
+    peer.apply(update(None, 1), NO_GRACE, at(1)).expect("it holds the whole list");
+    peer.apply(replica.since(Some(1), at(2)), NO_GRACE, at(2)).expect("it follows on");
+    for replica in [&mut replica, &mut peer] {
+        let earlier = incarnation(4, Some(100), Standing::Ready);
+        let late = Update { entries: vec![earlier], ..update(Some(3), 4) };
         assert_eq!(replica.apply(late, NO_GRACE, at(3)), Ok(vec![]));
         let same = incarnation(5, Some(200), Standing::Ready);
         let back = Update { entries: vec![same], ..update(Some(4), 5) };
@@ -182,8 +182,8 @@
         check(vec![Update { entries: vec![entry("a", 3)], ..update(None, 3) }], &["a"]);
     let lapsed = Update { removed: vec![removal("a", 5)], ..update(Some(3), 5) };
     replica.apply(lapsed, GRACE, at(10_000)).expect("it follows on");
-    let told = replica.since(Some(3), at(11_500));
-    assert_eq!(told.removed[0].grace_ms, 500);
+    let update = replica.since(Some(3), at(11_500));
+    assert_eq!(update.removed[0].grace_ms, 500);
     let gone = replica.expire(at(12_000));
     assert_eq!((gone[0].1, replica.entries().count()), (Change::Gone, 0));
     assert_eq!(replica.since(Some(3), at(12_500)).removed, [removal("a", 5)]);
--- a/crates/fleet/tests/evacuation.rs
+++ b/crates/fleet/tests/evacuation.rs
@@ -10,7 +10,7 @@
 use net::{Net, Treatment};
 use std::time::Duration;
 
-const PLACES: [&str; 7] = ["a", "a", "a", "b", "b", "c", "c"];
+const DATA_CENTRES: [&str; 7] = ["a", "a", "a", "b", "b", "c", "c"];
 
 /// Upstreams of the data centre `b`.
 const EVACUATED: [&str; 2] = ["i-3", "i-4"];
@@ -33,11 +33,11 @@
 }
 
 fn is_evacuated_everywhere(net: &Net) -> bool {
-    (0..PLACES.len()).all(|node| !sends_to_evacuated(net, node))
+    (0..DATA_CENTRES.len()).all(|node| !sends_to_evacuated(net, node))
 }
 
 fn is_readmitted_everywhere(net: &Net) -> bool {
-    (0..PLACES.len()).all(|node| EVACUATED.iter().all(|id| net.is_target(node, id)))
+    (0..DATA_CENTRES.len()).all(|node| EVACUATED.iter().all(|id| net.is_target(node, id)))
 }
 
 fn order(data_centre: &str, revision: u64, withdrawn: bool) -> Order {
@@ -46,7 +46,7 @@
 
 #[test]
 fn an_order_and_its_withdrawal_reach_all_nodes_in_time() {
-    let mut net = converged(&PLACES);
+    let mut net = converged(&DATA_CENTRES);
     net.evacuate("b");
     net.until(LIMIT_MS, is_evacuated_everywhere);
     assert!((0..7).all(|node| net.is_target(node, "i-0") && net.is_target(node, "i-6")));
@@ -70,8 +70,8 @@
 /// Guards against nodes that keep sending because the platform rejects their calls.
 #[test]
 fn rate_limited_nodes_learn_of_an_order_from_peers() {
-    for served in 0..PLACES.len() {
-        let mut net = converged(&PLACES);
+    for served in 0..DATA_CENTRES.len() {
+        let mut net = converged(&DATA_CENTRES);
         net.treat_all(Treatment::Refuse);
         net.treat(served, Treatment::Serve);
         net.run(200);
@@ -85,7 +85,7 @@
 /// Guards against a restarted node that sends work to a data centre evacuated before its start.
 #[test]
 fn a_restarted_node_follows_an_order_it_learns_from_peers() {
-    let mut net = converged(&PLACES);
+    let mut net = converged(&DATA_CENTRES);
     net.evacuate("b");
     net.until(LIMIT_MS, is_evacuated_everywhere);
     net.treat_all(Treatment::Silent);
@@ -101,7 +101,7 @@
 /// Guards against a lost withdrawal after compaction: a whole list contains no withdrawals.
 #[test]
 fn a_whole_list_without_an_order_withdraws_it() {
-    let mut net = converged(&PLACES);
+    let mut net = converged(&DATA_CENTRES);
     net.evacuate("b");
     net.until(LIMIT_MS, is_evacuated_everywhere);
     net.treat_all(Treatment::Refuse);
@@ -115,7 +115,7 @@
 /// Guards against a partitioned node that gossips a withdrawn order after the partition heals.
 #[test]
 fn a_delayed_order_does_not_undo_its_withdrawal() {
-    let mut net = converged(&PLACES);
+    let mut net = converged(&DATA_CENTRES);
     net.evacuate("b");
     net.until(LIMIT_MS, is_evacuated_everywhere);
     for other in 0..6 {
@@ -138,7 +138,7 @@
 /// Guards against full load on readmitted upstreams, which may be cold.
 #[test]
 fn upstreams_of_a_readmitted_data_centre_are_marked() {
-    let mut net = converged(&PLACES);
+    let mut net = converged(&DATA_CENTRES);
     net.evacuate("b");
     net.until(LIMIT_MS, is_evacuated_everywhere);
     net.take_back("b");
@@ -151,7 +151,7 @@
 
 #[test]
 fn the_warm_up_time_counts_from_the_receipt_of_the_entry() {
-    let mut net = converged(&PLACES);
+    let mut net = converged(&DATA_CENTRES);
     net.register_cold(3, "i-3", 3_000);
     let begun = net.now;
     let until = |net: &Net| {
@@ -165,7 +165,7 @@
 /// Guards against an upstream that stays cold because it once registered an excessive time.
 #[test]
 fn an_upstream_can_end_its_warm_up() {
-    let mut net = converged(&PLACES);
+    let mut net = converged(&DATA_CENTRES);
     let is_cold = |net: &Net, node: usize| {
         let upstreams = net.node(node).view.upstreams("shelfview");
         let upstream = upstreams.iter().find(|u| u.instance == "i-3").expect("it is listed");
@@ -198,15 +198,15 @@
 /// Guards against replicas that diverge by the order of arrival.
 #[test]
 fn orders_merge_to_the_same_state_in_any_sequence() {
-    let heard =
+    let received =
         [order("a", 3, false), order("a", 5, true), order("b", 4, false), order("a", 7, false)];
     let mut expect = Orders::default();
-    expect.merge(heard.clone());
-    for first in 0..heard.len() {
-        for second in 0..heard.len() {
+    expect.merge(received.clone());
+    for first in 0..received.len() {
+        for second in 0..received.len() {
             let mut orders = Orders::default();
-            orders.merge([heard[first].clone(), heard[second].clone()]);
-            orders.merge(heard.iter().rev().cloned());
+            orders.merge([received[first].clone(), received[second].clone()]);
+            orders.merge(received.iter().rev().cloned());
             assert_eq!(orders.since(None), expect.since(None));
         }
     }
@@ -215,11 +215,11 @@
 /// Guards against an older product version whose whole lists would withdraw all orders.
 #[test]
 fn a_whole_list_without_orders_support_withdraws_none() {
-    let mut copy = Directory::default();
-    let told =
+    let mut replica = Directory::default();
+    let update =
         Update { revision: 5, orders: Some(vec![order("b", 5, false)]), ..Update::default() };
-    copy.apply(told, Duration::ZERO, Time::default()).expect("a whole copy leaves no gap");
+    replica.apply(update, Duration::ZERO, Time::default()).expect("a whole copy leaves no gap");
     let silent = Update { revision: 6, ..Update::default() };
-    copy.apply(silent, Duration::ZERO, Time::default()).expect("a whole copy leaves no gap");
-    assert!(copy.orders().is_evacuated("b"));
+    replica.apply(silent, Duration::ZERO, Time::default()).expect("a whole copy leaves no gap");
+    assert!(replica.orders().is_evacuated("b"));
 }
--- a/crates/fleet/tests/matrix.rs
+++ b/crates/fleet/tests/matrix.rs
@@ -30,7 +30,7 @@
     CutSource,
     BadVersion,
     NextVersion,
-    Herd,
+    RestartAll,
     Leave,
 }
 
@@ -48,7 +48,7 @@
     Fault::CutSource,
     Fault::BadVersion,
     Fault::NextVersion,
-    Fault::Herd,
+    Fault::RestartAll,
     Fault::Leave,
 ];
 
@@ -71,7 +71,7 @@
         Fault::NextVersion => {
             net.publish("profiles/base", Some("{\"attempts\": 1}"));
         }
-        Fault::Herd => (0..NODES).for_each(|n| net.start(n)),
+        Fault::RestartAll => (0..NODES).for_each(|n| net.start(n)),
         Fault::Leave => net.stop(node),
     }
 }
--- a/crates/fleet/tests/quarantine.rs
+++ b/crates/fleet/tests/quarantine.rs
@@ -184,8 +184,8 @@
     let idle_before: u64 = idle.heard_bytes.iter().sum();
     idle.run(10_000);
     let idle_after: u64 = idle.heard_bytes.iter().sum();
-    let (told, usual) = (after - before, idle_after - idle_before);
-    assert!(told <= usual + usual / 20, "{told} bytes in ten seconds, usually {usual}");
+    let (sent, usual) = (after - before, idle_after - idle_before);
+    assert!(sent <= usual + usual / 20, "{sent} bytes in ten seconds, usually {usual}");
 }
 
 /// Guards against quarantine reports that exceed the control traffic budget of 8 KB/s per node.
