--- a/crates/baobabrelayd/src/main.rs
+++ b/crates/baobabrelayd/src/main.rs
@@ -2,7 +2,7 @@
 
 use node::{
     Node,
-    reload::{self, Inbox},
+    reload::{self, Signals},
     settings,
 };
 use pico_args::Arguments;
@@ -68,12 +68,12 @@
 }
 
 fn run(file: &str, settings: &settings::Settings) -> ExitCode {
-    let inbox = match Inbox::open() {
-        Ok(inbox) => inbox,
+    let signals = match Signals::register() {
+        Ok(signals) => signals,
         Err(error) => return fail(&error.to_string()),
     };
     match Node::start(settings) {
-        Ok(node) => reload::run(inbox, node, file, &|text| parse(file, text)),
+        Ok(node) => reload::run(signals, node, file, &|text| parse(file, text)),
         Err(error) => return fail(&error.to_string()),
     }
     ExitCode::SUCCESS
--- a/crates/baobabrelayd/tests/fatal.rs
+++ b/crates/baobabrelayd/tests/poison_request.rs
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_request_that_ends_upstreams_is_not_sent_to_one_after_the_other() {
+fn a_poison_request_is_quarantined_before_it_crashes_every_upstream() {
     let mesh = mesh();
     let fatal = format!("/counts{FATAL}");
     let mut last = None;
--- a/crates/baobabrelayd/tests/process.rs
+++ b/crates/baobabrelayd/tests/process.rs
@@ -69,7 +69,7 @@
 /// A supplier payment posts twice. Its node was frozen with the payment in its socket's buffer; the
 /// caller was told "unknown" and went home; hours later the node woke and ran it.
 #[test]
-fn a_frozen_node_runs_nothing_old() {
+fn a_resumed_node_runs_no_abandoned_call() {
     let mut mesh = mesh(1, Duration::ZERO);
     assert_eq!(call(&mesh, &Call::post("/paydesk/pay", "first")).outcome(), "answered");
     mesh.signal_node(1, Signal::STOP).expect("the process can be frozen");
@@ -134,7 +134,7 @@
 
 /// A planned stop cuts covers that are being logged, or loses those that come meanwhile.
 #[test]
-fn a_planned_stop_cuts_nothing() {
+fn a_planned_stop_loses_no_call() {
     let mut mesh = mesh(3, Duration::from_millis(40));
     let entry = mesh.spots[0].traffic;
     let workers: Vec<_> = (0..4)
@@ -167,7 +167,7 @@
 /// long as the profile grants. Then the process ends by itself; without that bound it would stay
 /// until the payment's own time is up, and the payment would be answered "unknown".
 #[test]
-fn a_planned_stop_ends_although_nothing_it_waits_for_does() {
+fn a_planned_stop_ends_at_its_limit_with_a_call_in_flight() {
     let mut mesh = mesh(1, Duration::ZERO);
     let profile = r#"{"deadline_ms": 20000, "drain_ms": 1000}"#;
     let revision = mesh.platform.publish(&[("profiles/p", Some(profile))]);
@@ -198,7 +198,7 @@
 /// Every node of the mesh is restarted at once, with the platform serving an old revision to make
 /// things worse. Whoever was restarted first must not start the others on the old one.
 #[test]
-fn a_restarted_node_learns_the_newest_from_its_peers() {
+fn a_restarted_node_learns_the_newest_version_from_its_peers() {
     let mut mesh = mesh(2, Duration::ZERO);
     let old = mesh.revision(0).expect("the node answers");
     let newest = mesh.platform.publish(&[("profiles/q", Some("{}"))]);
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -23,7 +23,7 @@
 
 use crate::{
     VERSION, now,
-    settings::{Discovery, Plan, Settings},
+    settings::{Discovery, Dissemination, Settings},
 };
 
 /// Time between two ticks of the state machine.
@@ -138,13 +138,13 @@
 }
 
 fn control_settings(settings: &Settings, parts: &Parts) -> fleet::control::Settings {
-    let dissemination: Box<dyn dissemination::Strategy> = match settings.plan {
-        Plan::Epidemic => Box::new(dissemination::Epidemic::default()),
-        Plan::Tree => Box::new(dissemination::Tree::default()),
-        Plan::Pull => Box::new(dissemination::Pull),
+    let dissemination: Box<dyn dissemination::Strategy> = match settings.dissemination {
+        Dissemination::Epidemic => Box::new(dissemination::Epidemic::default()),
+        Dissemination::Tree => Box::new(dissemination::Tree::default()),
+        Dissemination::Pull => Box::new(dissemination::Pull),
     };
     fleet::control::Settings {
-        seeds: settings.contacts.clone(),
+        seeds: settings.seeds.clone(),
         dissemination,
         seed: rand::random(),
         product: VERSION.to_owned(),
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -154,9 +154,9 @@
     /// tells whether the rest needs a restart.
     pub fn reload(&mut self, new: &Settings) {
         let mut reloaded = self.settings.clone();
-        reloaded.room = new.room;
-        reloaded.connect = new.connect;
-        reloaded.budget = new.budget;
+        reloaded.capacity = new.capacity;
+        reloaded.connect_timeout = new.connect_timeout;
+        reloaded.retry_budget = new.retry_budget;
         reloaded.cold_excess = new.cold_excess;
         reloaded.stop = new.stop;
         let needs_restart = reloaded != *new;
@@ -199,9 +199,9 @@
 
 fn tuning(settings: &Settings) -> Tuning {
     Tuning {
-        capacity: settings.room,
-        connect_timeout: settings.connect,
-        budget: settings.budget,
+        capacity: settings.capacity,
+        connect_timeout: settings.connect_timeout,
+        budget: settings.retry_budget,
         cold_excess: settings.cold_excess,
     }
 }
@@ -219,7 +219,7 @@
         slots: settings.upstream.slots,
         split_offset: rand::random(),
         tuning: tuning(settings),
-        max_connections: settings.connections,
+        max_connections: settings.max_connections,
         pause: policy::pause::Settings::default(),
         instance: settings.instance.clone(),
         log: settings.log,
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -5,7 +5,7 @@
 
 use signal_hook::{
     consts::{SIGHUP, SIGINT, SIGTERM},
-    iterator::Signals,
+    iterator::Signals as SignalIterator,
 };
 use std::{fs, io, thread, time::Duration};
 
@@ -19,30 +19,30 @@
 const POLLS_PER_READ: u32 = 30;
 
 /// Reads settings, or returns every fault.
-pub type Read<'a> = &'a dyn Fn(&str) -> Result<Settings, Vec<String>>;
+pub type Parser<'a> = &'a dyn Fn(&str) -> Result<Settings, Vec<String>>;
 
 /// Signals that have arrived for a node.
 #[derive(Debug)]
-pub struct Inbox {
-    signals: Signals,
+pub struct Signals {
+    signals: SignalIterator,
 }
 
-impl Inbox {
+impl Signals {
     /// Takes signals from now on. It must exist before the node does: a SIGHUP that came earlier
     /// would end the process.
-    pub fn open() -> io::Result<Self> {
-        Ok(Inbox { signals: Signals::new([SIGTERM, SIGINT, SIGHUP])? })
+    pub fn register() -> io::Result<Self> {
+        Ok(Signals { signals: SignalIterator::new([SIGTERM, SIGINT, SIGHUP])? })
     }
 }
 
 /// Runs `node`, whose settings came from the file at `path`, until a signal asks it to stop.
-pub fn run(mut inbox: Inbox, mut node: Node, path: &str, read: Read<'_>) {
+pub fn run(mut signals: Signals, mut node: Node, path: &str, parse: Parser<'_>) {
     let mut known = fs::read_to_string(path).unwrap_or_default();
     let mut polls = 0;
     loop {
         thread::sleep(POLL);
         polls += 1;
-        let pending: Vec<i32> = inbox.signals.pending().collect();
+        let pending: Vec<i32> = signals.signals.pending().collect();
         if pending.iter().any(|&signal| signal != SIGHUP) {
             return node.stop();
         }
@@ -54,7 +54,7 @@
         if text == known && pending.is_empty() {
             continue;
         }
-        match read(&text) {
+        match parse(&text) {
             Ok(settings) => node.reload(&settings),
             Err(faults) => node.refuse_reload(&faults),
         }
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -23,17 +23,17 @@
     /// Address of the platform.
     pub platform: SocketAddr,
     /// Nodes to ask first when starting.
-    pub contacts: Vec<SocketAddr>,
+    pub seeds: Vec<SocketAddr>,
     /// Threads that carry calls.
     pub traffic_threads: usize,
     /// Room for calls in hand.
-    pub room: Capacity,
+    pub capacity: Capacity,
     /// Most connections from callers and other nodes.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Longest time for opening a connection.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// How new versions are passed on.
-    pub plan: Plan,
+    pub dissemination: Dissemination,
     /// Whether events are logged as JSON lines.
     pub log: bool,
     /// How upstreams and other nodes are found.
@@ -41,7 +41,7 @@
     /// Names of headers towards callers and upstreams.
     pub names: Names,
     /// Bound on repeated calls of the whole fleet, if there is one.
-    pub budget: Option<budget::Settings>,
+    pub retry_budget: Option<budget::Settings>,
     /// How far calls to a cold upstream may exceed what its service's configuration says it bears.
     pub cold_excess: Excess,
     /// How a planned stop goes.
@@ -108,7 +108,7 @@
 
 /// How new versions are passed on.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Plan {
+pub enum Dissemination {
     /// To random nodes.
     Epidemic,
     /// Along a tree.
@@ -119,8 +119,11 @@
 
 pub use self::fields::{FIELDS, Field};
 
-const PLANS: [(&str, Plan); 3] =
-    [("epidemic", Plan::Epidemic), ("tree", Plan::Tree), ("pull", Plan::Pull)];
+const DISSEMINATIONS: [(&str, Dissemination); 3] = [
+    ("epidemic", Dissemination::Epidemic),
+    ("tree", Dissemination::Tree),
+    ("pull", Dissemination::Pull),
+];
 
 /// An address no node can have, in the place of one that could not be read.
 const NOWHERE: SocketAddr =
@@ -141,16 +144,16 @@
             },
             upstream: Upstream { address: NOWHERE, slots: 10 },
             platform: NOWHERE,
-            contacts: Vec::new(),
+            seeds: Vec::new(),
             traffic_threads: 2,
-            room: Capacity::default(),
-            connections: 1_024,
-            connect: Duration::from_millis(250),
-            plan: Plan::Epidemic,
+            capacity: Capacity::default(),
+            max_connections: 1_024,
+            connect_timeout: Duration::from_millis(250),
+            dissemination: Dissemination::Epidemic,
             log: true,
             discovery: Discovery::Gossip,
             names: Names::default(),
-            budget: None,
+            retry_budget: None,
             cold_excess: Excess::default(),
             stop: Stop::default(),
             link_mbps: 0,
@@ -180,9 +183,9 @@
 
 fn read_object(object: &mut Object<'_>) -> Settings {
     let usual = Settings::default();
-    let room = Capacity {
-        calls: object.number("calls", 1..=1_000_000, usual.room.calls as u64) as usize,
-        bytes: object.number("body_bytes", 1_024..=1 << 34, usual.room.bytes as u64) as usize,
+    let capacity = Capacity {
+        calls: object.number("calls", 1..=1_000_000, usual.capacity.calls as u64) as usize,
+        bytes: object.number("body_bytes", 1_024..=1 << 34, usual.capacity.bytes as u64) as usize,
     };
     Settings {
         instance: object.name("instance"),
@@ -200,20 +203,21 @@
             slots: upstream.number("slots", 1..=10_000, usual.upstream.slots as u64) as usize,
         }),
         platform: address(object, "platform"),
-        contacts: contacts(object),
+        seeds: seeds(object),
         traffic_threads: object.number("traffic_threads", 1..=64, usual.traffic_threads as u64)
             as usize,
-        connections: object.number("connections", 1..=65_536, usual.connections as u64) as usize,
-        connect: Duration::from_millis(object.number(
+        max_connections: object.number("connections", 1..=65_536, usual.max_connections as u64)
+            as usize,
+        connect_timeout: Duration::from_millis(object.number(
             "connect_ms",
             1..=60_000,
-            usual.connect.as_millis() as u64,
+            usual.connect_timeout.as_millis() as u64,
         )),
-        plan: plan(object),
+        dissemination: dissemination(object),
         log: object.flag("log", usual.log),
         discovery: discovery(object),
         names: names(object),
-        budget: repeats(object),
+        retry_budget: retry_budget(object),
         cold_excess: cold_excess(object),
         stop: object.object("stop", |stop| Stop {
             linger: millis(stop, "linger_ms", 0..=600_000, usual.stop.linger),
@@ -221,7 +225,7 @@
             limit: millis(stop, "limit_ms", 100..=3_600_000, usual.stop.limit),
         }),
         link_mbps: object.number("link_mbps", 0..=1_000_000, 0) as u32,
-        room,
+        capacity,
     }
 }
 
@@ -267,7 +271,7 @@
     parse(&text)
 }
 
-fn repeats(object: &mut Object<'_>) -> Option<budget::Settings> {
+fn retry_budget(object: &mut Object<'_>) -> Option<budget::Settings> {
     let usual = budget::Settings::default();
     let given = object.has("repeats");
     let settings = object.object("repeats", |repeats| budget::Settings {
@@ -297,17 +301,18 @@
     text.parse().unwrap_or(NOWHERE)
 }
 
-fn contacts(object: &mut Object<'_>) -> Vec<SocketAddr> {
+fn seeds(object: &mut Object<'_>) -> Vec<SocketAddr> {
     let valid = |text: &str| text.parse::<SocketAddr>().is_ok();
     let texts = object.texts("contacts", ADDRESS_SHAPE, valid, &[]);
     texts.iter().filter_map(|text| text.parse().ok()).collect()
 }
 
-fn plan(object: &mut Object<'_>) -> Plan {
-    let find = |text: &str| PLANS.iter().find(|(name, _)| *name == text).map(|(_, plan)| *plan);
+fn dissemination(object: &mut Object<'_>) -> Dissemination {
+    let find =
+        |text: &str| DISSEMINATIONS.iter().find(|(name, _)| *name == text).map(|(_, kind)| *kind);
     let shape = "\"epidemic\", \"tree\" or \"pull\"";
     let text = object.optional_text("plan", shape, |text| find(text).is_some());
-    text.and_then(|text| find(&text)).unwrap_or(Plan::Epidemic)
+    text.and_then(|text| find(&text)).unwrap_or(Dissemination::Epidemic)
 }
 
 const ADDRESS_SHAPE: &str = "an address such as \"127.0.0.1:7000\"";
