--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -1,4 +1,5 @@
-//! The control thread and its link to the others.
+//! The control thread, which drives the state machine of `fleet`, and the client through which
+//! other threads send it events and requests.
 
 use crossbeam::channel::{self, Receiver, Sender, TrySendError};
 use fleet::{
@@ -26,22 +27,21 @@
     settings::{Discovery, Dissemination, Settings},
 };
 
-/// Time between two ticks of the state machine.
-const TICK: Duration = Duration::from_millis(50);
+/// Interval of [`Event::Tick`].
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long a node with the platform's list waits before it calls the platform first: nothing
-/// but the time in which its sockets are opened.
+/// Delay of the first call to the platform with [`Discovery::List`]; covers the opening of sockets.
 const JOIN_WAIT: Duration = Duration::from_millis(20);
 
-/// Time between two collections of traffic's counts.
-const COLLECT: Duration = Duration::from_secs(1);
+/// Interval at which events of `traffic` are collected and gauges updated.
+const COLLECT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Messages that may wait for the control thread; further ones from other nodes are dropped, and
-/// their senders take that as a failed probe.
-const BACKLOG: usize = 4_096;
+/// Queued messages to the control thread. Requests of other nodes beyond that get no response, which
+/// the sender counts as a failed probe.
+const QUEUE_CAPACITY: usize = 4_096;
 
-/// States that the gauge of members tells apart.
-const STATES: [(State, &str); 6] = [
+/// Member states and their labels in the gauge of members.
+const REPORTED_STATES: [(State, &str); 6] = [
     (State::Live, "live"),
     (State::Suspect, "suspect"),
     (State::Unreachable, "unreachable"),
@@ -50,8 +50,8 @@
     (State::Evacuated, "evacuated"),
 ];
 
-/// What the control thread needs besides the settings.
-pub(crate) struct Parts {
+/// Dependencies of the control thread besides the settings.
+pub(crate) struct Dependencies {
     pub(crate) own: Record,
     pub(crate) source: Arc<dyn Source>,
     pub(crate) proxy: Arc<Proxy>,
@@ -63,25 +63,25 @@
 /// A message to the control thread.
 enum Message {
     Event(Event),
-    Ask(Request, oneshot::Sender<Response>),
+    Request(Request, oneshot::Sender<Response>),
     Status(oneshot::Sender<status::Node>),
     Events(Stamp, oneshot::Sender<Vec<timeline::Event>>),
 }
 
-/// The way to the control thread.
+/// Sends events and requests to the control thread.
 #[derive(Clone)]
-pub(crate) struct Link {
+pub(crate) struct Client {
     sender: Sender<Message>,
 }
 
-impl Link {
-    /// Reports an event.
+impl Client {
+    /// Queues an event; blocks while the queue is full.
     pub(crate) fn send(&self, event: Event) {
-        // The receiver is gone only when the process ends; then nobody misses the event.
+        // Fails only after the control thread has ended, during shutdown.
         let _ = self.sender.send(Message::Event(event));
     }
 
-    /// Tells whether the control thread still runs.
+    /// Returns whether the control thread is running.
     pub(crate) fn is_open(&self) -> bool {
         !matches!(
             self.sender.try_send(Message::Event(Event::Tick)),
@@ -89,7 +89,7 @@
         )
     }
 
-    fn ask<T: Send + 'static>(
+    fn request<T: Send + 'static>(
         &self,
         message: impl FnOnce(oneshot::Sender<T>) -> Message,
     ) -> Reply<T> {
@@ -99,45 +99,53 @@
     }
 }
 
-impl peer::Handler for Link {
+impl peer::Handler for Client {
     fn handle(&self, request: Request) -> Reply<Response> {
-        Link::ask(self, |reply| Message::Ask(request, reply))
+        Client::request(self, |reply| Message::Request(request, reply))
     }
 
     fn status(&self) -> Reply<status::Node> {
-        Link::ask(self, Message::Status)
+        Client::request(self, Message::Status)
     }
 
     fn events(&self, stamp: Stamp) -> Reply<Vec<timeline::Event>> {
-        Link::ask(self, |reply| Message::Events(stamp, reply))
+        Client::request(self, |reply| Message::Events(stamp, reply))
     }
 }
 
-/// Starts the control thread and the threads that call the platform.
-pub(crate) fn start(settings: &Settings, parts: Parts) -> io::Result<Link> {
-    let (sender, receiver) = channel::bounded(BACKLOG);
-    let link = Link { sender };
-    let config = start_reader(0, parts.source.clone(), link.clone())?;
-    let list = start_reader(1, parts.source.clone(), link.clone())?;
-    let mut digests = None;
-    let begin = now(&parts.clock);
+/// Starts the control thread, the platform readers and, where digests are used, their receiver.
+pub(crate) fn start(settings: &Settings, deps: Dependencies) -> io::Result<Client> {
+    let (sender, receiver) = channel::bounded(QUEUE_CAPACITY);
+    let client = Client { sender };
+    let config_reader = start_reader(0, deps.source.clone(), client.clone())?;
+    let list_reader = start_reader(1, deps.source.clone(), client.clone())?;
+    let mut digest_socket = None;
+    let started = now(&deps.clock);
     let machine: Box<dyn Machine> = match settings.discovery {
-        Discovery::Gossip => Box::new(Control::new(control_settings(settings, &parts), begin)),
+        Discovery::Gossip => Box::new(Control::new(control_settings(settings, &deps), started)),
         Discovery::List => {
             let socket = Socket::bind(settings.listen.peers).map_err(io::Error::other)?;
             let socket = Arc::new(socket);
-            start_listener(socket.clone(), link.clone())?;
-            digests = Some(socket);
-            Box::new(listed::Control::new(listed_settings(settings, &parts), begin))
+            start_digest_receiver(socket.clone(), client.clone())?;
+            digest_socket = Some(socket);
+            Box::new(listed::Control::new(listed_settings(settings, &deps), started))
         }
     };
-    let logged = Stamp::default();
-    let mut driver = Driver { machine, parts, link: link.clone(), config, list, digests, logged };
+    let last_logged = Stamp::default();
+    let mut driver = Driver {
+        machine,
+        deps,
+        client: client.clone(),
+        config_reader,
+        list_reader,
+        digest_socket,
+        last_logged,
+    };
     thread::Builder::new().name("control".to_owned()).spawn(move || driver.run(&receiver))?;
-    Ok(link)
+    Ok(client)
 }
 
-fn control_settings(settings: &Settings, parts: &Parts) -> fleet::control::Settings {
+fn control_settings(settings: &Settings, deps: &Dependencies) -> fleet::control::Settings {
     let dissemination: Box<dyn dissemination::Strategy> = match settings.dissemination {
         Dissemination::Epidemic => Box::new(dissemination::Epidemic::default()),
         Dissemination::Tree => Box::new(dissemination::Tree::default()),
@@ -148,11 +156,11 @@
         dissemination,
         seed: rand::random(),
         product: VERSION.to_owned(),
-        ..fleet::control::Settings::new(parts.own.clone())
+        ..fleet::control::Settings::new(deps.own.clone())
     }
 }
 
-fn listed_settings(settings: &Settings, parts: &Parts) -> listed::Settings {
+fn listed_settings(settings: &Settings, deps: &Dependencies) -> listed::Settings {
     listed::Settings {
         instance: settings.instance.clone(),
         service: settings.service.clone(),
@@ -160,7 +168,7 @@
         address: settings.listen.peers,
         traffic_port: settings.listen.nodes.unwrap_or(settings.listen.traffic).port(),
         upstream: settings.upstream.address,
-        incarnation: parts.own.incarnation,
+        incarnation: deps.own.incarnation,
         link_mbps: settings.link_mbps,
         join_wait: JOIN_WAIT,
         watch: listed::watch::Settings::default(),
@@ -169,59 +177,63 @@
     }
 }
 
-/// Starts a thread that takes the summaries of other nodes.
-fn start_listener(socket: Arc<Socket>, link: Link) -> io::Result<()> {
+/// Starts the thread that receives gossip digests of other nodes.
+fn start_digest_receiver(socket: Arc<Socket>, client: Client) -> io::Result<()> {
     let work = move || {
-        while link.is_open() {
+        while client.is_open() {
             match socket.receive() {
-                Ok(digest) => link.send(Event::Digest(digest)),
+                Ok(digest) => client.send(Event::Digest(digest)),
                 Err(datagram::Error::Malformed { from, source }) => {
                     let reason = source.to_string();
-                    link.send(Event::Note(Kind::BadMessage { peer: from, reason }));
+                    client.send(Event::Note(Kind::BadMessage { peer: from, reason }));
                 }
-                // Nothing can be done about the socket; the loop must not spin on it.
-                Err(_) => thread::sleep(TICK),
+                // Keeps a persistent socket error from turning this into a busy loop.
+                Err(_) => thread::sleep(TICK_INTERVAL),
             }
         }
     };
     thread::Builder::new().name("digests".to_owned()).spawn(work).map(drop)
 }
 
-/// Starts a thread that makes one call to the platform after the other.
-fn start_reader(number: usize, source: Arc<dyn Source>, link: Link) -> io::Result<Sender<Query>> {
+/// Starts a thread that sends queries to the platform, one at a time.
+fn start_reader(
+    number: usize,
+    source: Arc<dyn Source>,
+    client: Client,
+) -> io::Result<Sender<Query>> {
     let (sender, receiver) = channel::bounded::<Query>(1);
     let work = move || {
         for query in receiver {
-            link.send(Event::Source(source.read(query)));
+            client.send(Event::Source(source.read(query)));
         }
     };
     thread::Builder::new().name(format!("source-{number}")).spawn(work)?;
     Ok(sender)
 }
 
-/// Drives the state machine.
+/// Owns the state machine, feeds it events and executes its effects.
 struct Driver {
     machine: Box<dyn Machine>,
-    parts: Parts,
-    link: Link,
-    config: Sender<Query>,
-    list: Sender<Query>,
-    digests: Option<Arc<Socket>>,
-    logged: Stamp,
+    deps: Dependencies,
+    client: Client,
+    config_reader: Sender<Query>,
+    list_reader: Sender<Query>,
+    digest_socket: Option<Arc<Socket>>,
+    last_logged: Stamp,
 }
 
 impl Driver {
     fn run(&mut self, messages: &Receiver<Message>) {
-        let ticks = channel::tick(TICK);
-        let collections = channel::tick(COLLECT);
+        let ticks = channel::tick(TICK_INTERVAL);
+        let collections = channel::tick(COLLECT_INTERVAL);
         loop {
             channel::select! {
                 recv(messages) -> message => match message {
-                    Ok(message) => self.take(message),
+                    Ok(message) => self.handle(message),
                     Err(_) => return,
                 },
                 recv(ticks) -> _ => {
-                    self.take_crashes();
+                    self.apply_crashes();
                     self.apply(Event::Tick, None);
                 }
                 recv(collections) -> _ => self.collect(),
@@ -229,25 +241,24 @@
         }
     }
 
-    /// Takes what traffic found out about the ends of the own upstream.
-    fn take_crashes(&mut self) {
-        for loss in self.parts.proxy.take_crashes() {
-            self.apply(Event::UpstreamEnded(loss), None);
+    /// Passes on crashes of the colocated upstream, and requests cleared of suspicion.
+    fn apply_crashes(&mut self) {
+        for crash in self.deps.proxy.take_crashes() {
+            self.apply(Event::UpstreamEnded(crash), None);
         }
-        for request in self.parts.proxy.take_cleared() {
+        for request in self.deps.proxy.take_cleared() {
             self.apply(Event::Cleared(request), None);
         }
     }
 
-    fn take(&mut self, message: Message) {
+    fn handle(&mut self, message: Message) {
         match message {
-            // Ticks come from this thread's own timer; one from elsewhere only asks whether this
-            // thread is alive.
+            // Sent by `Client::is_open` as a liveness check; real ticks come from the timer in `run`.
             Message::Event(Event::Tick) => {}
             Message::Event(event) => self.apply(event, None),
-            Message::Ask(request, reply) => self.apply(Event::Request(request), Some(reply)),
+            Message::Request(request, reply) => self.apply(Event::Request(request), Some(reply)),
             Message::Status(reply) => {
-                let status = self.machine.status(now(&self.parts.clock));
+                let status = self.machine.status(now(&self.deps.clock));
                 let _ = reply.send(status);
             }
             Message::Events(stamp, reply) => {
@@ -257,54 +268,54 @@
     }
 
     fn apply(&mut self, event: Event, mut reply: Option<oneshot::Sender<Response>>) {
-        for effect in self.machine.apply(event, now(&self.parts.clock)) {
+        for effect in self.machine.apply(event, now(&self.deps.clock)) {
             match effect {
                 Effect::Reply(response) => {
                     if let Some(reply) = reply.take() {
-                        // The asker may have gone away; its next probe will tell it the same.
+                        // Fails if the peer has disconnected; its next probe gets the same state.
                         let _ = reply.send(response);
                     }
                 }
-                Effect::Send(peer, request, timeout) => self.send(peer, request, timeout),
+                Effect::Send(peer, request, timeout) => self.send_request(peer, request, timeout),
                 Effect::Read(query) => self.read(query),
                 Effect::InForce(snapshot) => {
-                    self.parts.meter.set_revision(snapshot.version.revision);
-                    self.parts.proxy.set_config(snapshot);
+                    self.deps.meter.set_revision(snapshot.version.revision);
+                    self.deps.proxy.set_config(snapshot);
                 }
-                Effect::Expected(revision) => self.parts.proxy.set_expected_revision(revision),
-                Effect::View(view) => self.parts.proxy.set_view(view),
-                Effect::Gossip(targets, digest) => self.tell(&targets, &digest),
+                Effect::Expected(revision) => self.deps.proxy.set_expected_revision(revision),
+                Effect::View(view) => self.deps.proxy.set_view(view),
+                Effect::Gossip(targets, digest) => self.send_digest(&targets, &digest),
                 Effect::Quarantine(quarantine) => {
-                    self.parts.meter.set_quarantined(quarantine.until.len() as u64);
-                    self.parts.proxy.set_quarantine(quarantine);
+                    self.deps.meter.set_quarantined(quarantine.until.len() as u64);
+                    self.deps.proxy.set_quarantine(quarantine);
                 }
-                Effect::Open => self.parts.proxy.set_ready(true),
-                Effect::Drain => self.parts.proxy.leave(),
+                Effect::Open => self.deps.proxy.set_ready(true),
+                Effect::Drain => self.deps.proxy.leave(),
             }
         }
-        self.log();
+        self.log_events();
     }
 
-    fn tell(&self, targets: &[SocketAddr], digest: &Digest) {
-        let Some(socket) = &self.digests else { return };
+    fn send_digest(&self, targets: &[SocketAddr], digest: &Digest) {
+        let Some(socket) = &self.digest_socket else { return };
         for _ in 0..targets.len() {
-            self.parts.meter.count_message("digest");
+            self.deps.meter.count_message("digest");
         }
-        // A summary that could not be sent is as good as lost; the next one follows soon.
+        // Digests are sent periodically, so that one that cannot be sent needs no retry.
         let _unsent = socket.send(targets, digest);
     }
 
-    fn send(&self, peer: SocketAddr, request: Request, timeout: Duration) {
+    fn send_request(&self, peer: SocketAddr, request: Request, timeout: Duration) {
         let method = match request {
             Request::Heartbeat(_) => Method::Heartbeat,
             Request::Pull(_) => Method::Pull,
             Request::Sync(_) => Method::Sync,
             Request::Fetch(_) => Method::Fetch,
         };
-        self.parts.meter.count_message(method.name());
-        let link = self.link.clone();
-        let meter = self.parts.meter.clone();
-        self.parts.peers.spawn(async move {
+        self.deps.meter.count_message(method.name());
+        let client = self.client.clone();
+        let meter = self.deps.meter.clone();
+        self.deps.peers.spawn(async move {
             let event = match peer::send(peer, &request, timeout).await {
                 Ok(response) => Event::Response(peer, response),
                 Err(error) => {
@@ -317,41 +328,41 @@
                     Event::Failed(peer, Error { method, malformed })
                 }
             };
-            link.send(event);
+            client.send(event);
         });
     }
 
     fn read(&mut self, query: Query) {
-        self.parts.meter.count_source_read();
-        let (lane, topic) = match query {
-            Query::Config { .. } => (&self.config, Topic::Config),
-            Query::Changes { .. } => (&self.config, Topic::Changes),
-            Query::List { .. } => (&self.list, Topic::List),
+        self.deps.meter.count_source_read();
+        let (reader, topic) = match query {
+            Query::Config { .. } => (&self.config_reader, Topic::Config),
+            Query::Changes { .. } => (&self.config_reader, Topic::Changes),
+            Query::List { .. } => (&self.list_reader, Topic::List),
         };
-        if lane.try_send(query).is_err() {
-            // The lane's last call has not returned although the state machine gave it up.
+        if reader.try_send(query).is_err() {
+            // The state machine gave up an earlier call that still blocks this thread.
             let failure = Failure::Unreachable("an earlier call has not returned".to_owned());
             self.apply(Event::Source(Answer::Failed(topic, failure)), None);
         }
     }
 
     fn collect(&mut self) {
-        for kind in self.parts.proxy.collect_events() {
+        for kind in self.deps.proxy.collect_events() {
             self.apply(Event::Note(kind), None);
         }
-        self.parts.meter.set_control_cpu(crate::process::control_seconds());
-        self.parts.meter.set_known_revision(self.machine.known_revision());
-        for (state, name) in STATES {
-            self.parts.meter.set_members(name, self.machine.count(state) as u64);
+        self.deps.meter.set_control_cpu(crate::process::control_cpu_seconds());
+        self.deps.meter.set_known_revision(self.machine.known_revision());
+        for (state, name) in REPORTED_STATES {
+            self.deps.meter.set_members(name, self.machine.count(state) as u64);
         }
     }
 
-    /// Logs the events since the last time.
-    fn log(&mut self) {
-        for event in self.machine.events_after(self.logged) {
-            self.logged = event.stamp;
+    /// Logs the events since the last call.
+    fn log_events(&mut self) {
+        for event in self.machine.events_after(self.last_logged) {
+            self.last_logged = event.stamp;
             if matches!(event.kind, Kind::Rejected { .. }) {
-                self.parts.meter.count_rejection();
+                self.deps.meter.count_rejection();
             }
             telemetry::log::event(&event);
         }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,17 +1,15 @@
-//! A node: the decisions of `fleet` and `policy` wired to threads, sockets and the platform.
-//!
-//! This crate exists so that the daemon stays thin and tests can run a node in their own process.
-//! [`settings::Settings`] and [`Node`] are an API border. It decides nothing about configuration,
-//! members or calls itself; it must not interpret the platform's documents.
+//! Runs a node: connects the state machines of `fleet` and the proxy of `traffic` to threads,
+//! sockets and the platform. It makes no decisions about configuration, membership or calls.
 //!
 //! | thread | work |
 //! |---|---|
-//! | `control` | owns [`fleet::control::Control`], takes events, carries out effects |
+//! | `control` | drives [`fleet::control::Machine`]: applies events and executes effects |
 //! | `peers` | JSON-RPC server and client |
+//! | `digests` | receives gossip digests, with [`settings::Discovery::List`] only |
 //! | `source-0`, `source-1` | blocking calls to the platform |
-//! | `pulse` | finds pauses of the process |
-//! | `operators` | operators' page |
-//! | `traffic-*` | calls |
+//! | `pause-monitor` | detects pauses of the process |
+//! | `operators` | operators' HTTP endpoint |
+//! | `traffic` | worker threads that proxy calls |
 
 mod control;
 mod operators;
@@ -40,64 +38,64 @@
 use traffic::{Clock, Door, Listener, Proxy, Tuning};
 
 use crate::{
-    control::Link,
+    control::Client,
     settings::{Discovery, Settings},
 };
 
-/// Version of the product.
+/// Product version, as nodes report it to operators and other nodes.
 pub const VERSION: &str = env!("CARGO_PKG_VERSION");
 
-/// Time between two beats of the pulse thread.
-const PULSE: Duration = Duration::from_millis(50);
+/// Interval between two checks for a pause of the process.
+const PAUSE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Failure to start a node.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// A thread or its runtime could not be started.
+    /// A thread, its runtime or its socket could not be created.
     #[snafu(display("cannot start a thread: {source}"))]
     Thread {
-        /// What the system says.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The address for calls is not available.
+    /// A listener for calls could not be bound.
     #[snafu(display("{source}"))]
     Traffic {
-        /// What the listener says.
+        /// Error of the listener.
         source: traffic::Error,
     },
-    /// The address for messages between nodes is not available.
-    #[snafu(display("messages between nodes: {source}"))]
+    /// The RPC server for messages between nodes could not be started.
+    #[snafu(display("cannot serve messages between nodes: {source}"))]
     Peers {
-        /// What the server says.
+        /// Error of the server.
         source: peer::Error,
     },
-    /// The operators' page is not available.
-    #[snafu(display("cannot serve the operators' page at {address}: {reason}"))]
+    /// The operators' HTTP endpoint could not be started.
+    #[snafu(display("cannot serve the operators' HTTP endpoint at {address}: {reason}"))]
     Operators {
-        /// Its address.
+        /// Address of the endpoint, from the settings.
         address: SocketAddr,
-        /// What the server says.
+        /// Error of the server, as text.
         reason: String,
     },
-    /// Metrics could not be set up.
+    /// The metrics registry could not be created.
     #[snafu(display("{source}"))]
     Metrics {
-        /// What the library says.
+        /// Error of the metrics library.
         source: metric::Error,
     },
 }
 
-/// A running node.
+/// A running node; dropping it ends its network threads without draining calls, see [`Node::stop`].
 pub struct Node {
     proxy: Arc<Proxy>,
-    link: Link,
+    control: Client,
     settings: Settings,
     _peers: Runtime,
     _traffic: Runtime,
 }
 
 impl Node {
-    /// Starts a node that reads the platform at the address of its settings.
+    /// Starts a node that reads the platform over HTTP, at the address in `settings`.
     pub fn start(settings: &Settings) -> Result<Self, Error> {
         let source = source::Http::new(settings.platform, &settings.instance);
         Node::start_with(settings, Arc::new(source))
@@ -106,7 +104,7 @@
     /// Starts a node that reads the platform through `source`.
     pub fn start_with(settings: &Settings, source: Arc<dyn Source>) -> Result<Self, Error> {
         if settings.log {
-            // A second node in the same process shares the logger of the first.
+            // Fails if another node of this process has installed the logger, which both then share.
             let _ = telemetry::log::init(log::LevelFilter::Info);
         }
         let clock = Clock::default();
@@ -128,7 +126,7 @@
             .context(ThreadSnafu)?;
         let listeners = traffic.block_on(bind(settings)).context(TrafficSnafu)?;
         let own = own_record(settings, incarnation);
-        let parts = control::Parts {
+        let deps = control::Dependencies {
             own,
             source,
             proxy: proxy.clone(),
@@ -136,22 +134,22 @@
             meter: meter.clone(),
             peers: peers.handle().clone(),
         };
-        let link = control::start(settings, parts).context(ThreadSnafu)?;
-        let handler = Arc::new(link.clone());
+        let control = control::start(settings, deps).context(ThreadSnafu)?;
+        let handler = Arc::new(control.clone());
         let served = peers.block_on(peer::serve(settings.listen.peers, handler));
         let (_, handle) = served.context(PeersSnafu)?;
-        // The server lives as long as its runtime.
+        // Keeps the server running until the runtime is dropped.
         peers.spawn(handle.stopped());
-        operators::start(settings, link.clone(), proxy.clone(), meter, peers.handle().clone())?;
-        start_pulse(proxy.clone(), link.clone()).context(ThreadSnafu)?;
+        operators::start(settings, control.clone(), proxy.clone(), meter, peers.handle().clone())?;
+        start_pause_monitor(proxy.clone(), control.clone()).context(ThreadSnafu)?;
         for listener in listeners {
             traffic.spawn(listener.serve(proxy.clone()));
         }
-        Ok(Node { proxy, link, settings: settings.clone(), _peers: peers, _traffic: traffic })
+        Ok(Node { proxy, control, settings: settings.clone(), _peers: peers, _traffic: traffic })
     }
 
-    /// Works under new settings as far as they can change while the process runs; the time line
-    /// tells whether the rest needs a restart.
+    /// Applies those of the `new` settings that can change at run time, and logs whether the others
+    /// need a restart.
     pub fn reload(&mut self, new: &Settings) {
         let mut reloaded = self.settings.clone();
         reloaded.capacity = new.capacity;
@@ -162,16 +160,16 @@
         let needs_restart = reloaded != *new;
         self.proxy.set_tuning(tuning(&reloaded));
         self.settings = reloaded;
-        self.link.send(Event::Note(Kind::Reloaded { needs_restart }));
+        self.control.send(Event::Note(Kind::Reloaded { needs_restart }));
     }
 
-    /// Notes that new settings cannot be used; the former ones stay in force.
+    /// Logs the `faults` of invalid new settings; the current settings stay in force.
     pub fn refuse_reload(&self, faults: &[String]) {
-        self.link.send(Event::Note(Kind::ReloadRefused { faults: faults.to_vec() }));
+        self.control.send(Event::Note(Kind::ReloadRefused { faults: faults.to_vec() }));
     }
 }
 
-/// Opens every address at which calls are taken.
+/// Binds every listener for calls.
 async fn bind(settings: &Settings) -> Result<Vec<Listener>, traffic::Error> {
     let listen = settings.listen;
     let callers = if listen.nodes.is_some() { Door::Callers } else { Door::All };
@@ -211,7 +209,7 @@
         address: settings.listen.peers,
         incarnation: match settings.discovery {
             Discovery::Gossip => Some(incarnation),
-            // Upstreams are named by identities of their own.
+            // Upstreams are identified by the platform's list, not by their node's incarnation.
             Discovery::List => None,
         },
         service: settings.service.clone(),
@@ -228,24 +226,24 @@
     }
 }
 
-fn start_pulse(proxy: Arc<Proxy>, link: Link) -> io::Result<()> {
-    let pulse = move || {
-        while link.is_open() {
+fn start_pause_monitor(proxy: Arc<Proxy>, control: Client) -> io::Result<()> {
+    let work = move || {
+        while control.is_open() {
             if let Some(pause) = proxy.tick_pause_detector() {
-                link.send(Event::Resumed(pause));
+                control.send(Event::Resumed(pause));
             }
-            thread::sleep(PULSE);
+            thread::sleep(PAUSE_CHECK_INTERVAL);
         }
     };
-    thread::Builder::new().name("pulse".to_owned()).spawn(pulse).map(drop)
+    thread::Builder::new().name("pause-monitor".to_owned()).spawn(work).map(drop)
 }
 
-/// Returns the wall clock in ms since the Unix epoch; 0 if it is set before that.
+/// Returns the wall clock in ms since the Unix epoch; 0 if the clock is set before the epoch.
 fn wall_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64)
 }
 
-/// Returns the present moment on both clocks.
+/// Reads the monotonic and the wall clock.
 fn now(clock: &Clock) -> Now {
     Now { time: clock.now(), wall_ms: wall_ms() }
 }
--- a/crates/node/src/operators.rs
+++ b/crates/node/src/operators.rs
@@ -1,7 +1,6 @@
-//! The operators' page: state, time line, explanations and metrics over HTTP.
+//! The operators' HTTP endpoint: status, timeline, routing explanations and metrics, read only.
 //!
-//! It only reads. It answers one request at a time, so that operators' tools cannot take
-//! processor time from calls.
+//! It serves one request at a time, which bounds the CPU time that it takes from calls.
 
 use fleet::{
     clock::Stamp,
@@ -17,26 +16,26 @@
 use tokio::{runtime::Handle, task::JoinSet};
 use traffic::Proxy;
 
-use crate::{Error, control::Link, settings::Settings};
+use crate::{Error, control::Client, settings::Settings};
 
-/// Time for another node's answer.
-const GATHER: Duration = Duration::from_secs(2);
+/// Timeout of a request to another node.
+const PEER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Nodes asked at the same time.
-const GATHER_WIDTH: usize = 64;
+/// Concurrent requests to other nodes.
+const MAX_CONCURRENT_REQUESTS: usize = 64;
 
-/// What the page needs.
-struct Page {
-    link: Link,
+/// Data sources of the endpoint.
+struct Endpoint {
+    control: Client,
     proxy: Arc<Proxy>,
     meter: Arc<Meter>,
     peers: Handle,
 }
 
-/// Serves the page on a thread of its own.
+/// Starts the thread that serves the endpoint.
 pub(crate) fn start(
     settings: &Settings,
-    link: Link,
+    control: Client,
     proxy: Arc<Proxy>,
     meter: Arc<Meter>,
     peers: Handle,
@@ -44,11 +43,11 @@
     let address = settings.listen.operators;
     let failure = |reason: String| Error::Operators { address, reason };
     let server = Server::http(address).map_err(|e| failure(e.to_string()))?;
-    let page = Page { link, proxy, meter, peers };
+    let endpoint = Endpoint { control, proxy, meter, peers };
     let work = move || {
         for request in server.incoming_requests() {
-            let response = page.answer(request.url());
-            // The operator's tool may have gone away.
+            let response = endpoint.respond(request.url());
+            // Fails if the client has disconnected.
             let _ = request.respond(response);
         }
     };
@@ -56,8 +55,8 @@
     thread.map(drop).map_err(|e| failure(e.to_string()))
 }
 
-impl Page {
-    fn answer(&self, url: &str) -> Response<io::Cursor<Vec<u8>>> {
+impl Endpoint {
+    fn respond(&self, url: &str) -> Response<io::Cursor<Vec<u8>>> {
         let (path, query) = url.split_once('?').unwrap_or((url, ""));
         match path {
             "/status" => json(&self.status()),
@@ -72,29 +71,35 @@
             }
             "/explain" => match parameter(query, "service") {
                 Some(service) => json(&Some(self.explain(service))),
-                None => text(400, "name a service: /explain?service=NAME\n".to_owned()),
+                None => text(
+                    400,
+                    "the parameter service is missing: /explain?service=NAME\n".to_owned(),
+                ),
             },
             "/metrics" => match self.meter.render() {
                 Ok(metrics) => text(200, metrics),
                 Err(error) => text(500, format!("{error}\n")),
             },
-            _ => text(404, "try /status, /fleet, /timeline, /explain or /metrics\n".to_owned()),
+            _ => text(
+                404,
+                "unknown path; use /status, /fleet, /timeline, /explain or /metrics\n".to_owned(),
+            ),
         }
     }
 
     fn status(&self) -> Option<Node> {
-        self.peers.block_on(Handler::status(&self.link))
+        self.peers.block_on(Handler::status(&self.control))
     }
 
     fn events(&self, after: Stamp) -> Option<Vec<Event>> {
-        self.peers.block_on(self.link.events(after))
+        self.peers.block_on(self.control.events(after))
     }
 
     fn fleet(&self) -> Option<Fleet> {
         let node = self.status()?;
-        let others = others(&node);
+        let others = other_members(&node);
         let answers =
-            self.gather(&others, |peer| async move { peer::status(peer, GATHER).await.ok() });
+            self.gather(&others, |peer| async move { peer::status(peer, PEER_TIMEOUT).await.ok() });
         let mut fleet = Fleet { answered: vec![node.clone()], node, silent: Vec::new() };
         for (member, answer) in answers {
             match answer {
@@ -106,33 +111,33 @@
         Some(fleet)
     }
 
-    /// Merges the events of all nodes that answer, in causal order.
+    /// Merges the events of all nodes that respond, in causal order.
     fn fleet_events(&self, after: Stamp) -> Option<Vec<Event>> {
         let node = self.status()?;
         let mut events = self.events(after)?;
-        let answers = self.gather(&others(&node), move |peer| async move {
-            peer::events(peer, after, GATHER).await.ok()
+        let answers = self.gather(&other_members(&node), move |peer| async move {
+            peer::events(peer, after, PEER_TIMEOUT).await.ok()
         });
         events.extend(answers.into_iter().filter_map(|(_, events)| events).flatten());
         events.sort_by(|a, b| (a.stamp, &a.node).cmp(&(b.stamp, &b.node)));
         Some(events)
     }
 
-    /// Asks many nodes, a bounded number of them at a time.
+    /// Sends `request` to each of `members`, in groups of [`MAX_CONCURRENT_REQUESTS`].
     fn gather<T, F>(
         &self,
         members: &[Member],
-        ask: impl Fn(SocketAddr) -> F,
+        request: impl Fn(SocketAddr) -> F,
     ) -> Vec<(Member, Option<T>)>
     where
         T: Send + 'static,
         F: Future<Output = Option<T>> + Send + 'static,
     {
         let mut answers = Vec::new();
-        for group in members.chunks(GATHER_WIDTH) {
+        for group in members.chunks(MAX_CONCURRENT_REQUESTS) {
             let mut running = JoinSet::new();
             for member in group.iter().cloned() {
-                let answer = ask(member.address);
+                let answer = request(member.address);
                 running.spawn_on(async move { (member, answer.await) }, &self.peers);
             }
             answers.extend(self.peers.block_on(running.join_all()));
@@ -153,7 +158,7 @@
     }
 }
 
-fn others(node: &Node) -> Vec<Member> {
+fn other_members(node: &Node) -> Vec<Member> {
     let mut members = node.members.clone();
     members.retain(|m| m.address != node.address && m.state != State::Gone);
     members
@@ -167,7 +172,7 @@
     match value.as_ref().map(serde_json::to_string) {
         Some(Ok(body)) => text(200, body).with_header(content_type("application/json")),
         Some(Err(error)) => text(500, format!("{error}\n")),
-        None => text(503, "the node stops\n".to_owned()),
+        None => text(503, "the node is stopping\n".to_owned()),
     }
 }
 
@@ -176,5 +181,5 @@
 }
 
 fn content_type(name: &str) -> Header {
-    Header::from_bytes("content-type", name).expect("the header is made of constants")
+    Header::from_bytes("content-type", name).expect("the header name and value are valid")
 }
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a node, read from a JSON file and checked as a whole.
+//! Settings of a node, read from a JSON file and validated as a whole.
 
 mod fields;
 
@@ -7,68 +7,67 @@
 use std::{net::SocketAddr, time::Duration};
 use traffic::wire::{HeaderName, Names, Precision};
 
-/// Settings of a node.
+/// Settings of a node, with defaults for the optional ones.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// The platform's name of the instance.
     pub instance: String,
-    /// Service of its upstream.
+    /// Service of this node's upstream.
     pub service: String,
-    /// Its data centre.
+    /// Data centre of the instance.
     pub data_centre: String,
-    /// Addresses it listens at.
+    /// Addresses that the node listens on.
     pub listen: Listen,
-    /// The upstream beside it.
+    /// This node's upstream.
     pub upstream: Upstream,
-    /// Address of the platform.
+    /// Address of the platform's configuration service.
     pub platform: SocketAddr,
-    /// Nodes to ask first when starting.
+    /// Seed nodes that a starting node contacts first; may be out of date.
     pub seeds: Vec<SocketAddr>,
-    /// Threads that carry calls.
+    /// Worker threads that proxy calls.
     pub traffic_threads: usize,
-    /// Room for calls in hand.
+    /// Limits on calls in flight and their body bytes.
     pub capacity: Capacity,
-    /// Most connections from callers and other nodes.
+    /// Limit on accepted connections of callers and other nodes.
     pub max_connections: usize,
-    /// Longest time for opening a connection.
+    /// Timeout for opening a connection.
     pub connect_timeout: Duration,
-    /// How new versions are passed on.
+    /// How new versions of the configuration are disseminated.
     pub dissemination: Dissemination,
-    /// Whether events are logged as JSON lines.
+    /// Whether events are logged, as JSON lines on standard output.
     pub log: bool,
-    /// How upstreams and other nodes are found.
+    /// How upstreams and other nodes are discovered.
     pub discovery: Discovery,
-    /// Names of headers towards callers and upstreams.
+    /// Names of the headers exchanged with callers and upstreams.
     pub names: Names,
-    /// Bound on repeated calls of the whole fleet, if there is one.
+    /// Retry budget of the whole fleet; `None` leaves it to the profiles.
     pub retry_budget: Option<budget::Settings>,
-    /// How far calls to a cold upstream may exceed what its service's configuration says it bears.
+    /// How far calls to a cold upstream may exceed the rate in its service's configuration.
     pub cold_excess: Excess,
-    /// How a planned stop goes.
+    /// Durations of a planned stop.
     pub stop: Stop,
-    /// Speed of the instance's link, in Mbit/s; 0 where it is not known.
+    /// Speed of the instance's network link, in Mbit/s; 0 if unknown.
     pub link_mbps: u32,
 }
 
-/// How upstreams and other nodes are found.
+/// How upstreams and other nodes are discovered.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Discovery {
-    /// By the nodes' own word.
+    /// From the records that nodes gossip about themselves.
     Gossip,
-    /// By the platform's list of upstreams; a node listens at the IP address of its upstream.
+    /// From the platform's list of upstreams; a node listens on the IP address of its upstream.
     List,
 }
 
-/// How a planned stop goes.
+/// Durations of a planned stop.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Stop {
-    /// For how long a node that tells callers that it takes no new work still takes it. Callers
-    /// that ask once a second leave after two refusals.
+    /// How long a stopping node still accepts calls while its readiness probe already fails; callers
+    /// stop sending calls only after failed probes.
     pub linger: Duration,
-    /// Time kept at the end of the stop for calls in hand: callers that still come then are
-    /// refused.
+    /// Time at the end of the stop that is reserved for calls in flight; new calls are refused.
     pub finish: Duration,
-    /// Longest time of the whole stop.
+    /// Upper bound of the whole stop.
     pub limit: Duration,
 }
 
@@ -82,38 +81,38 @@
     }
 }
 
-/// Addresses a node listens at.
+/// Addresses that a node listens on.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Listen {
-    /// For calls; of callers only where `nodes` is given.
+    /// For calls; only for those of callers if `nodes` is set.
     pub traffic: SocketAddr,
-    /// For calls of other nodes, if they have an address of their own.
+    /// For calls of other nodes, if separate from `traffic`.
     pub nodes: Option<SocketAddr>,
-    /// For the question whether this node takes new work, if anybody asks it.
+    /// For readiness probes, if enabled.
     pub ready: Option<SocketAddr>,
     /// For messages between nodes.
     pub peers: SocketAddr,
-    /// For the operators' page.
+    /// For the operators' HTTP endpoint.
     pub operators: SocketAddr,
 }
 
-/// The upstream beside a node.
+/// The upstream that a node serves.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Upstream {
-    /// Its address.
+    /// Address at which it accepts calls.
     pub address: SocketAddr,
-    /// Calls that it can work on at once.
+    /// Concurrency limit, in calls.
     pub slots: usize,
 }
 
-/// How new versions are passed on.
+/// How new versions of the configuration are disseminated.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Dissemination {
-    /// To random nodes.
+    /// Announced to random nodes.
     Epidemic,
-    /// Along a tree.
+    /// Announced along a tree of nodes.
     Tree,
-    /// Not at all; others ask.
+    /// Not announced; other nodes pull.
     Pull,
 }
 
@@ -125,8 +124,8 @@
     ("pull", Dissemination::Pull),
 ];
 
-/// An address no node can have, in the place of one that could not be read.
-const NOWHERE: SocketAddr =
+/// Stands for a missing or malformed address, which is reported as a fault.
+const PLACEHOLDER_ADDRESS: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::UNSPECIFIED), 0);
 
 impl Default for Settings {
@@ -136,14 +135,14 @@
             service: String::new(),
             data_centre: String::new(),
             listen: Listen {
-                traffic: NOWHERE,
+                traffic: PLACEHOLDER_ADDRESS,
                 nodes: None,
                 ready: None,
-                peers: NOWHERE,
-                operators: NOWHERE,
+                peers: PLACEHOLDER_ADDRESS,
+                operators: PLACEHOLDER_ADDRESS,
             },
-            upstream: Upstream { address: NOWHERE, slots: 10 },
-            platform: NOWHERE,
+            upstream: Upstream { address: PLACEHOLDER_ADDRESS, slots: 10 },
+            platform: PLACEHOLDER_ADDRESS,
             seeds: Vec::new(),
             traffic_threads: 2,
             capacity: Capacity::default(),
@@ -161,7 +160,7 @@
     }
 }
 
-/// Reads settings from `text`; `file` names their place in faults. Returns every fault at once.
+/// Parses settings from `text`, and returns all faults on failure; `file` is the name used in faults.
 ///
 /// ```
 /// let faults = node::settings::read("node.json", "{}").unwrap_err();
@@ -172,7 +171,7 @@
     read_value(file, value)
 }
 
-/// Reads settings from a parsed value; see [`read`].
+/// Reads settings from a parsed JSON value; see [`read`].
 pub fn read_value(file: &str, value: serde_json::Value) -> Result<Settings, Vec<Fault>> {
     let mut faults = Vec::new();
     let mut object = Object::new(file, "", value, &mut faults);
@@ -182,10 +181,10 @@
 }
 
 fn read_object(object: &mut Object<'_>) -> Settings {
-    let usual = Settings::default();
+    let default = Settings::default();
     let capacity = Capacity {
-        calls: object.number("calls", 1..=1_000_000, usual.capacity.calls as u64) as usize,
-        bytes: object.number("body_bytes", 1_024..=1 << 34, usual.capacity.bytes as u64) as usize,
+        calls: object.number("calls", 1..=1_000_000, default.capacity.calls as u64) as usize,
+        bytes: object.number("body_bytes", 1_024..=1 << 34, default.capacity.bytes as u64) as usize,
     };
     Settings {
         instance: object.name("instance"),
@@ -200,29 +199,29 @@
         }),
         upstream: object.object("upstream", |upstream| Upstream {
             address: address(upstream, "address"),
-            slots: upstream.number("slots", 1..=10_000, usual.upstream.slots as u64) as usize,
+            slots: upstream.number("slots", 1..=10_000, default.upstream.slots as u64) as usize,
         }),
         platform: address(object, "platform"),
         seeds: seeds(object),
-        traffic_threads: object.number("traffic_threads", 1..=64, usual.traffic_threads as u64)
+        traffic_threads: object.number("traffic_threads", 1..=64, default.traffic_threads as u64)
             as usize,
-        max_connections: object.number("connections", 1..=65_536, usual.max_connections as u64)
+        max_connections: object.number("connections", 1..=65_536, default.max_connections as u64)
             as usize,
         connect_timeout: Duration::from_millis(object.number(
             "connect_ms",
             1..=60_000,
-            usual.connect_timeout.as_millis() as u64,
+            default.connect_timeout.as_millis() as u64,
         )),
         dissemination: dissemination(object),
-        log: object.flag("log", usual.log),
+        log: object.flag("log", default.log),
         discovery: discovery(object),
         names: names(object),
         retry_budget: retry_budget(object),
         cold_excess: cold_excess(object),
         stop: object.object("stop", |stop| Stop {
-            linger: millis(stop, "linger_ms", 0..=600_000, usual.stop.linger),
-            finish: millis(stop, "finish_ms", 0..=600_000, usual.stop.finish),
-            limit: millis(stop, "limit_ms", 100..=3_600_000, usual.stop.limit),
+            linger: millis(stop, "linger_ms", 0..=600_000, default.stop.linger),
+            finish: millis(stop, "finish_ms", 0..=600_000, default.stop.finish),
+            limit: millis(stop, "limit_ms", 100..=3_600_000, default.stop.limit),
         }),
         link_mbps: object.number("link_mbps", 0..=1_000_000, 0) as u32,
         capacity,
@@ -233,33 +232,33 @@
     object: &mut Object<'_>,
     name: &str,
     range: std::ops::RangeInclusive<u64>,
-    usual: Duration,
+    default: Duration,
 ) -> Duration {
-    Duration::from_millis(object.number(name, range, usual.as_millis() as u64))
+    Duration::from_millis(object.number(name, range, default.as_millis() as u64))
 }
 
 fn discovery(object: &mut Object<'_>) -> Discovery {
-    let known = |text: &str| matches!(text, "gossip" | "list");
-    match object.optional_text("discovery", "\"gossip\" or \"list\"", known).as_deref() {
+    let is_known = |text: &str| matches!(text, "gossip" | "list");
+    match object.optional_text("discovery", "\"gossip\" or \"list\"", is_known).as_deref() {
         Some("list") => Discovery::List,
         _ => Discovery::Gossip,
     }
 }
 
 fn names(object: &mut Object<'_>) -> Names {
-    let usual = Names::default();
+    let default = Names::default();
     let names = object.object("headers", |headers| Names {
-        deadline: header(headers, "deadline").unwrap_or(usual.deadline),
+        deadline: header(headers, "deadline").unwrap_or(default.deadline),
         request: header(headers, "request"),
         caller: header(headers, "caller"),
         identity: header(headers, "identity"),
         refused: header(headers, "refused"),
         stamp: header(headers, "stamp"),
-        precision: usual.precision,
+        precision: default.precision,
     });
-    let known = |text: &str| matches!(text, "seconds" | "milliseconds");
+    let is_known = |text: &str| matches!(text, "seconds" | "milliseconds");
     let shape = "\"seconds\" or \"milliseconds\"";
-    match object.optional_text("retry_after", shape, known).as_deref() {
+    match object.optional_text("retry_after", shape, is_known).as_deref() {
         Some("milliseconds") => Names { precision: Precision::Millis, ..names },
         _ => names,
     }
@@ -272,38 +271,39 @@
 }
 
 fn retry_budget(object: &mut Object<'_>) -> Option<budget::Settings> {
-    let usual = budget::Settings::default();
+    let default = budget::Settings::default();
     let given = object.has("repeats");
     let settings = object.object("repeats", |repeats| budget::Settings {
         ratio: repeats.number("percent", 0..=1_000, 0) as f64 / 100.0,
         slack: repeats.number("slack", 0..=1_000_000, 0) as f64,
-        window: millis(repeats, "window_ms", 1_000..=600_000, usual.window),
-        ..usual
+        window: millis(repeats, "window_ms", 1_000..=600_000, default.window),
+        ..default
     });
     given.then_some(settings)
 }
 
 fn cold_excess(object: &mut Object<'_>) -> Excess {
-    let usual = Excess::default();
+    let default = Excess::default();
     object.object("cold_excess", |excess| Excess {
-        factor: excess.number("percent", 100..=1_000, (usual.factor * 100.0) as u64) as f64 / 100.0,
-        slack: excess.number("slack", 1..=1_000_000, usual.slack as u64) as f64,
+        factor: excess.number("percent", 100..=1_000, (default.factor * 100.0) as u64) as f64
+            / 100.0,
+        slack: excess.number("slack", 1..=1_000_000, default.slack as u64) as f64,
     })
 }
 
 fn optional_address(object: &mut Object<'_>, name: &str) -> Option<SocketAddr> {
-    let valid = |text: &str| text.parse::<SocketAddr>().is_ok();
-    object.optional_text(name, ADDRESS_SHAPE, valid)?.parse().ok()
+    let is_valid = |text: &str| text.parse::<SocketAddr>().is_ok();
+    object.optional_text(name, ADDRESS_SHAPE, is_valid)?.parse().ok()
 }
 
 fn address(object: &mut Object<'_>, name: &str) -> SocketAddr {
     let text = object.text(name, ADDRESS_SHAPE, |text| text.parse::<SocketAddr>().is_ok());
-    text.parse().unwrap_or(NOWHERE)
+    text.parse().unwrap_or(PLACEHOLDER_ADDRESS)
 }
 
 fn seeds(object: &mut Object<'_>) -> Vec<SocketAddr> {
-    let valid = |text: &str| text.parse::<SocketAddr>().is_ok();
-    let texts = object.texts("contacts", ADDRESS_SHAPE, valid, &[]);
+    let is_valid = |text: &str| text.parse::<SocketAddr>().is_ok();
+    let texts = object.texts("contacts", ADDRESS_SHAPE, is_valid, &[]);
     texts.iter().filter_map(|text| text.parse().ok()).collect()
 }
 
--- a/crates/node/src/settings/fields.rs
+++ b/crates/node/src/settings/fields.rs
@@ -1,17 +1,17 @@
-//! Every setting, as the reference page lists it.
+//! Table of all settings, from which the reference page `SETTINGS.md` is generated.
 
-/// A setting, as the reference page lists it.
+/// Description of one setting.
 #[derive(Clone, Copy, Debug)]
 pub struct Field {
-    /// JSON pointer of the setting.
+    /// JSON pointer of the setting in the file.
     pub pointer: &'static str,
-    /// What is accepted, with unit and range.
+    /// Accepted values, with unit and range.
     pub shape: &'static str,
-    /// Value where the setting is absent; none where it is required.
+    /// Default, as JSON or `absent`; `None` if the setting is required.
     pub default: Option<&'static str>,
-    /// An accepted value, as JSON.
+    /// Example of an accepted value, as JSON.
     pub example: &'static str,
-    /// What it decides.
+    /// Effect of the setting.
     pub help: &'static str,
 }
 
@@ -46,72 +46,87 @@
 const ADDRESS: &str = "IP:PORT";
 pub(super) const HEADER: &str = "name of a header";
 
-/// Every setting, in the order of the reference page.
+/// All settings, in the order of the reference page.
 pub const FIELDS: [Field; 36] = [
     required("/instance", NAME, "\"paydesk-1\"", "the platform's name of this instance"),
-    required("/service", NAME, "\"paydesk\"", "service of the upstream beside this node"),
+    required("/service", NAME, "\"paydesk\"", "service of this node's upstream"),
     required("/data_centre", NAME, "\"ktm-a\"", "data centre of this instance"),
     required(
         "/listen/traffic",
         ADDRESS,
         "\"127.0.0.1:7001\"",
-        "where callers and other nodes send calls",
+        "address for calls of callers and other nodes",
     ),
     required(
         "/listen/peers",
         ADDRESS,
         "\"127.0.0.1:7002\"",
-        "where other nodes send messages; names this node",
+        "address for messages of other nodes; identifies this node",
     ),
-    required("/listen/operators", ADDRESS, "\"127.0.0.1:7003\"", "operators' page and metrics"),
-    required("/upstream/address", ADDRESS, "\"127.0.0.1:8001\"", "the upstream beside this node"),
-    required("/platform", ADDRESS, "\"127.0.0.1:9000\"", "the platform's configuration service"),
+    required(
+        "/listen/operators",
+        ADDRESS,
+        "\"127.0.0.1:7003\"",
+        "address of the operators' HTTP endpoint, with metrics",
+    ),
+    required("/upstream/address", ADDRESS, "\"127.0.0.1:8001\"", "address of this node's upstream"),
+    required(
+        "/platform",
+        ADDRESS,
+        "\"127.0.0.1:9000\"",
+        "address of the platform's configuration service",
+    ),
+    optional("/upstream/slots", "1 to 10000 calls", "10", "concurrency limit of the upstream"),
     optional(
-        "/upstream/slots",
-        "1 to 10000 calls",
-        "10",
-        "calls that the upstream works on at once",
+        "/contacts",
+        "list of IP:PORT",
+        "[]",
+        "seed nodes that a starting node contacts first; may be out of date",
     ),
-    optional("/contacts", "list of IP:PORT", "[]", "nodes to ask first; may be stale"),
-    optional("/traffic_threads", "1 to 64", "2", "threads that carry calls"),
+    optional("/traffic_threads", "1 to 64", "2", "worker threads that proxy calls"),
     optional(
         "/calls",
         "1 to 1000000 calls",
         "2048",
-        "calls in hand at once; one service may take half of what is free",
+        "limit on calls in flight; those of one service may not exceed what is still free",
     ),
     optional(
         "/body_bytes",
         "1024 to 17179869184 bytes",
         "134217728",
-        "request bodies in hand at once",
+        "limit on bytes of request bodies in memory",
     ),
-    optional("/connections", "1 to 65536", "1024", "connections accepted for calls"),
-    optional("/connect_ms", "1 to 60000 ms", "250", "bound on opening a connection"),
+    optional("/connections", "1 to 65536", "1024", "limit on accepted connections for calls"),
+    optional("/connect_ms", "1 to 60000 ms", "250", "timeout for opening a connection"),
     optional(
         "/plan",
         "\"epidemic\", \"tree\" or \"pull\"",
         "\"epidemic\"",
-        "how new versions are passed on, see SPREADING.md",
+        "how new versions are disseminated, see SPREADING.md",
+    ),
+    optional(
+        "/log",
+        "true or false",
+        "true",
+        "whether events are logged, as JSON lines on standard output",
     ),
-    optional("/log", "true or false", "true", "events as JSON lines on standard output"),
     unset(
         "/listen/nodes",
         ADDRESS,
         "\"127.0.0.1:7004\"",
-        "where other nodes send calls; absent: where callers do",
+        "separate address for calls of other nodes; absent: they use /listen/traffic",
     ),
     unset(
         "/listen/ready",
         ADDRESS,
         "\"127.0.0.1:7005\"",
-        "answers 200 while callers may send new work here, 503 otherwise; absent: nobody asks",
+        "address for readiness probes: 200 while the node accepts calls of callers, 503 otherwise; absent: no probes",
     ),
     optional(
         "/discovery",
         "\"gossip\" or \"list\"",
         "\"gossip\"",
-        "upstreams by the nodes' own word, or by the platform's list",
+        "whether upstreams are discovered by gossip among nodes or from the platform's list",
     ),
     optional(
         "/headers/deadline",
@@ -123,70 +138,80 @@
         "/headers/request",
         HEADER,
         "\"x-request-id\"",
-        "a caller's id of a request, echoed by upstreams",
+        "request id set by the caller, echoed by upstreams",
     ),
     unset(
         "/headers/caller",
         HEADER,
         "\"x-caller\"",
-        "tells upstreams the service of the instance where a call began",
+        "service of the instance where a call entered the mesh, to upstreams",
     ),
     unset(
         "/headers/identity",
         HEADER,
         "\"x-identity\"",
-        "tells an upstream which identity is meant; another one refuses the call",
+        "identity of the intended upstream; an upstream with another one refuses the call",
     ),
     unset(
         "/headers/refused",
         HEADER,
         "\"x-refused\"",
-        "marks an upstream's answer that it did not run",
+        "marks an upstream's answer to a call that it did not run",
     ),
     unset(
         "/headers/stamp",
         HEADER,
         "\"x-stamp\"",
-        "marks every answer that an upstream made itself",
+        "marks every answer that the upstream itself created",
     ),
     optional(
         "/retry_after",
         "\"seconds\" or \"milliseconds\"",
         "\"seconds\"",
-        "how finely Retry-After is told: whole seconds, or with three decimals",
+        "precision of Retry-After: whole seconds, or seconds with three decimals",
     ),
     unset(
         "/repeats/percent",
         "0 to 1000 % of calls",
         "20",
-        "repeated calls that the whole fleet may send to a service within the window; absent: by profile",
+        "retry budget: retries of the whole fleet to a service within the window, per first call; absent: set by the profile",
+    ),
+    optional(
+        "/repeats/slack",
+        "0 to 1000000 calls",
+        "0",
+        "retries allowed in addition to the percentage",
+    ),
+    optional(
+        "/repeats/window_ms",
+        "1000 to 600000 ms",
+        "10000",
+        "length of the sliding window of the retry budget",
     ),
-    optional("/repeats/slack", "0 to 1000000 calls", "0", "repeats beyond that share"),
-    optional("/repeats/window_ms", "1000 to 600000 ms", "10000", "length of the sliding window"),
     optional(
         "/cold_excess/percent",
         "100 to 1000 %",
         "100",
-        "calls that may reach a cold upstream in any second, of those that its service's configuration names",
+        "calls that may reach a cold upstream in any second, relative to the rate in its service's configuration",
     ),
-    optional("/cold_excess/slack", "1 to 1000000 calls", "1", "calls beyond that"),
+    optional("/cold_excess/slack", "1 to 1000000 calls", "1", "calls allowed in addition to that"),
     optional(
         "/stop/linger_ms",
         "0 to 600000 ms",
         "0",
-        "a stopping node that says so at /listen/ready works on as before for this long",
+        "how long a stopping node still accepts calls while its readiness probe already fails",
     ),
     optional(
         "/stop/finish_ms",
         "0 to 600000 ms",
         "2000",
-        "time at the end of a planned stop in which no more calls are taken",
+        "time at the end of a planned stop in which new calls are refused",
     ),
-    optional("/stop/limit_ms", "100 to 3600000 ms", "600000", "longest time of a planned stop"),
+    optional("/stop/limit_ms", "100 to 3600000 ms", "600000", "upper bound of a planned stop"),
     optional(
         "/link_mbps",
         "0 to 1000000 Mbit/s",
         "0",
-        "speed of the instance's link; 0: not known, taken as fast",
+        "speed of the instance's network link; 0: unknown, assumed fast",
     ),
 ];
--- a/crates/node/src/stop.rs
+++ b/crates/node/src/stop.rs
@@ -1,7 +1,6 @@
-//! The planned stop of a node.
-//!
-//! Its steps: callers are told that they should leave (`linger`), no offer is taken any more, then no
-//! call either (`finish`), then the process ends, whatever is still in hand (`limit`).
+//! Planned stop of a node: its readiness probe fails while it still accepts calls (`linger`); it
+//! announces that it is leaving and refuses calls of other nodes; it refuses those of callers too
+//! (`finish`); the process ends when idle, or at `limit` with calls in flight.
 
 use fleet::control::Event;
 use policy::drain::{self, MIN_LEAVE_TIME, Plan, Progress, Step};
@@ -13,53 +12,52 @@
 
 use crate::Node;
 
-/// Time for the last messages to others.
-const FLUSH: Duration = Duration::from_millis(200);
+/// Time for the last messages to other nodes to be sent.
+const FLUSH_TIME: Duration = Duration::from_millis(200);
 
-/// Interval at which the progress of a planned stop is looked at.
-const POLL: Duration = Duration::from_millis(10);
+/// Interval at which the progress of a planned stop is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 impl Node {
-    /// Takes no more work, finishes what is in hand, tells other nodes and returns.
+    /// Announces the stop to callers and other nodes, drains calls in flight and returns.
     ///
-    /// Calls still in hand after the profile's `drain_ms` are cut; without that bound, one caller
-    /// that never reads its answer could keep an instance alive for ever.
+    /// Calls still in flight after the profile's `drain_ms` are dropped, so that a caller that never
+    /// reads its answer cannot block the stop.
     pub fn stop(self) {
         let signalled = Instant::now();
-        self.tell("begun", signalled);
+        self.log_step("begun", signalled);
         self.proxy.set_ready(false);
-        // Callers find out by asking, so they still come for a while; until they have left, this
-        // node and its upstream are of use to everybody.
+        // Callers learn of the stop at their next readiness probe and send calls until then.
         thread::sleep(self.settings.stop.linger);
         self.proxy.leave();
-        self.link.send(Event::Leave);
+        self.control.send(Event::Leave);
         self.drain();
-        self.tell("ended", signalled);
-        self.link.send(Event::Stop);
-        thread::sleep(FLUSH);
+        self.log_step("ended", signalled);
+        self.control.send(Event::Stop);
+        thread::sleep(FLUSH_TIME);
         telemetry::log::flush();
     }
 
-    /// Waits for what is in hand, as long as that may take.
+    /// Waits until calls in flight have ended or the limit is reached.
     fn drain(&self) {
         let begun = Instant::now();
         let plan = self.plan();
-        let mut busy = begun;
-        let mut closed: Option<Instant> = None;
+        let mut last_busy = begun;
+        let mut closed_at: Option<Instant> = None;
         loop {
             if self.proxy.calls_in_flight() > 0 {
-                busy = Instant::now();
+                last_busy = Instant::now();
             }
             let progress = Progress {
                 elapsed: begun.elapsed(),
-                closed: closed.map(|at| at.elapsed()),
-                idle: busy.elapsed(),
+                closed: closed_at.map(|at| at.elapsed()),
+                idle: last_busy.elapsed(),
             };
             match drain::next_step(plan, progress) {
-                Step::Wait => thread::sleep(POLL),
+                Step::Wait => thread::sleep(POLL_INTERVAL),
                 Step::Close => {
                     self.proxy.close();
-                    closed = Some(Instant::now());
+                    closed_at = Some(Instant::now());
                 }
                 Step::End => return,
             }
@@ -72,9 +70,9 @@
         Plan { close: limit.saturating_sub(self.settings.stop.finish), limit }
     }
 
-    /// Logs a step of a planned stop. A stop that begins and does not end was cut short: by its
-    /// machine, by a kill, or by a thread that waits for ever.
-    fn tell(&self, step: &str, signalled: Instant) {
+    /// Logs a step of a planned stop. `begun` without `ended` means that the process was killed or
+    /// hung.
+    fn log_step(&self, step: &str, signalled: Instant) {
         telemetry::log::line(&json!({
             "node": self.settings.instance,
             "event": "stop",
