--- a/crates/baobabctl/src/check.rs
+++ b/crates/baobabctl/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks files as a node would check a published version.
+//! `baobabctl check`: validates files as a node validates a published version.
 
 use model::{
     config::{self, PROFILES, SERVICES},
@@ -7,10 +7,10 @@
 };
 use std::{fs, path::Path};
 
-use crate::{End, output::say};
+use crate::{Exit, output::print_line};
 
-/// Checks `files` together as one version and prints each fault with its file.
-pub(crate) fn run(files: &[String]) -> End {
+/// Validates `files` as one version and prints each fault with its file.
+pub(crate) fn run(files: &[String]) -> Exit {
     let mut documents = Vec::new();
     let mut faults = Vec::new();
     let mut keys: Vec<(String, &String)> = Vec::new();
@@ -31,13 +31,13 @@
         faults.extend(found.into_iter().map(|fault| with_file(fault, &keys)));
     }
     for fault in &faults {
-        say!("{fault}");
+        print_line!("{fault}");
     }
     if !faults.is_empty() {
-        return End::No;
+        return Exit::Failure;
     }
-    say!("{} documents, no faults", keys.len());
-    End::Done
+    print_line!("{} documents, no faults", keys.len());
+    Exit::Success
 }
 
 fn read(file: &str) -> Result<Document, Fault> {
@@ -48,7 +48,7 @@
     Ok(Document { key, modified: 1, text: text.into() })
 }
 
-/// Returns the key under which a file's content would be published.
+/// Returns the key of the document that a file holds, from its folder and name.
 fn key_of(file: &str) -> Option<String> {
     let path = Path::new(file);
     let name = path.file_stem()?.to_str()?;
@@ -57,7 +57,7 @@
     Some(format!("{prefix}{name}"))
 }
 
-/// Names the file in the place of the key, since that is what the operator edits.
+/// Replaces the document's key in a fault by the path of its file.
 fn with_file(fault: Fault, keys: &[(String, &String)]) -> Fault {
     match keys.iter().find(|(key, _)| *key == fault.document) {
         Some((_, file)) => Fault { document: (*file).clone(), ..fault },
--- a/crates/baobabctl/src/fleet.rs
+++ b/crates/baobabctl/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The state of a fleet as lines for people: by data centre, with the nodes that need attention.
+//! Text output of `baobabctl status`: a summary by data centre, and the nodes that need attention.
 
 use fleet::{
     member::State,
@@ -7,22 +7,22 @@
 };
 use std::collections::BTreeMap;
 
-/// Most nodes, or requests, that are named one by one unless all are asked for; more would push the table of
-/// the data centres off a screen of 50 lines.
-const NAMED_MOST: usize = 30;
+/// Nodes or requests listed one by one without `--all`; with the table of data centres they fit on a
+/// screen of 50 lines.
+const MAX_LISTED: usize = 30;
 
-/// How much is printed of a fleet.
+/// Level of detail of the output.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Extent {
-    /// Data centres, and the nodes that need attention.
-    Attention,
-    /// Every node as well.
+pub(crate) enum Detail {
+    /// Data centres and the nodes that need attention.
+    Problems,
+    /// In addition, every node.
     All,
 }
 
-/// What a data centre's nodes say.
+/// Node counts of a data centre, and its readers of the platform.
 #[derive(Debug, Default)]
-struct Place<'a> {
+struct DataCentre<'a> {
     nodes: usize,
     in_force: usize,
     silent: usize,
@@ -30,36 +30,36 @@
     readers: Vec<&'a str>,
 }
 
-/// Returns the highest revision in force at any node that answered.
+/// Returns the highest revision in force at a node that answered.
 pub(crate) fn newest_revision(fleet: &Fleet) -> u64 {
     fleet.answered.iter().map(|n| n.version.revision).max().unwrap_or(0)
 }
 
-/// Returns the lines that show `fleet`.
-pub(crate) fn lines(fleet: &Fleet, extent: Extent) -> Vec<String> {
+/// Returns the lines that `baobabctl status` prints.
+pub(crate) fn lines(fleet: &Fleet, detail: Detail) -> Vec<String> {
     let newest = newest_revision(fleet);
     let mut lines = vec![progress(fleet, newest)];
-    lines.extend(table(&places(fleet, newest)));
+    lines.extend(table(&data_centres(fleet, newest)));
     let attention = attention(fleet, newest);
-    let most = if extent == Extent::All { usize::MAX } else { NAMED_MOST };
+    let limit = if detail == Detail::All { usize::MAX } else { MAX_LISTED };
     if !attention.is_empty() {
         lines.push("need attention:".to_owned());
-        lines.extend(shortened(attention, most));
+        lines.extend(truncated(attention, limit));
     }
-    if extent == Extent::All {
+    if detail == Detail::All {
         lines.push("all nodes:".to_owned());
         lines.extend(fleet.answered.iter().map(|node| row(node, &notes(node, newest).join(", "))));
     }
     lines.extend(rejections(fleet));
-    lines.extend(shortened(evacuated(fleet), most));
-    lines.extend(shortened(quarantined(fleet), most));
+    lines.extend(truncated(evacuated(fleet), limit));
+    lines.extend(truncated(quarantined(fleet), limit));
     lines
 }
 
-/// Returns the first `most` lines, and how many were left out.
-fn shortened(mut lines: Vec<String>, most: usize) -> Vec<String> {
-    let left_out = lines.len().saturating_sub(most);
-    lines.truncate(most);
+/// Returns the first `limit` lines, and a line with the number of those left out.
+fn truncated(mut lines: Vec<String>, limit: usize) -> Vec<String> {
+    let left_out = lines.len().saturating_sub(limit);
+    lines.truncate(limit);
     if left_out > 0 {
         lines.push(format!("and {left_out} more; --all names them"));
     }
@@ -72,42 +72,43 @@
     format!("newest version in force: revision {newest}, at {in_force} of {all} nodes")
 }
 
-fn places(fleet: &Fleet, newest: u64) -> BTreeMap<&str, Place<'_>> {
-    let mut places: BTreeMap<&str, Place<'_>> = BTreeMap::new();
+fn data_centres(fleet: &Fleet, newest: u64) -> BTreeMap<&str, DataCentre<'_>> {
+    let mut data_centres: BTreeMap<&str, DataCentre<'_>> = BTreeMap::new();
     for node in &fleet.answered {
-        let place = places.entry(&node.data_centre).or_default();
-        place.nodes += 1;
-        place.in_force += usize::from(node.version.revision == newest);
-        place.leaving += usize::from(node.state == State::Leaving);
+        let counts = data_centres.entry(&node.data_centre).or_default();
+        counts.nodes += 1;
+        counts.in_force += usize::from(node.version.revision == newest);
+        counts.leaving += usize::from(node.state == State::Leaving);
         if node.reader_rank < READERS {
-            place.readers.push(&node.instance);
+            counts.readers.push(&node.instance);
         }
     }
     for member in &fleet.silent {
-        let place = places.entry(&member.data_centre).or_default();
-        place.nodes += 1;
-        place.silent += 1;
+        let counts = data_centres.entry(&member.data_centre).or_default();
+        counts.nodes += 1;
+        counts.silent += 1;
     }
-    places
+    data_centres
 }
 
-fn table(places: &BTreeMap<&str, Place<'_>>) -> Vec<String> {
-    let head = format!(
+fn table(data_centres: &BTreeMap<&str, DataCentre<'_>>) -> Vec<String> {
+    let header = format!(
         "{:<16} {:>6} {:>9} {:>7} {:>7} {:>8}  read the platform",
         "data centre", "nodes", "in force", "behind", "silent", "leaving"
     );
-    let line = |(name, place): (&&str, &Place<'_>)| {
-        let Place { nodes, in_force, silent, leaving, readers } = place;
+    let line = |(name, counts): (&&str, &DataCentre<'_>)| {
+        let DataCentre { nodes, in_force, silent, leaving, readers } = counts;
         let behind = nodes - in_force - silent;
         let readers = readers.join(", ");
         format!(
             "{name:<16} {nodes:>6} {in_force:>9} {behind:>7} {silent:>7} {leaving:>8}  {readers}"
         )
     };
-    std::iter::once(head).chain(places.iter().map(line)).collect()
+    std::iter::once(header).chain(data_centres.iter().map(line)).collect()
 }
 
-/// Returns a line for each node that is behind, leaves, does not answer or sees an old platform.
+/// Returns a line for each node that is behind, is not live, does not answer or reads an outdated
+/// platform.
 fn attention(fleet: &Fleet, newest: u64) -> Vec<String> {
     let mut lines = Vec::new();
     for node in &fleet.answered {
@@ -148,37 +149,37 @@
 
 fn rejections(fleet: &Fleet) -> Vec<String> {
     let mut lines = Vec::new();
-    let mut seen = Vec::new();
+    let mut listed = Vec::new();
     for node in &fleet.answered {
-        for rejected in node.rejected.iter().filter(|r| !seen.contains(&r.version)) {
+        for rejected in node.rejected.iter().filter(|r| !listed.contains(&r.version)) {
             lines.push(format!("rejected by {}: version {}", node.instance, rejected.version));
             lines.extend(rejected.faults.iter().map(|fault| format!("  {fault}")));
         }
-        seen.extend(node.rejected.iter().map(|r| r.version));
+        listed.extend(node.rejected.iter().map(|r| r.version));
     }
     lines
 }
 
-/// Returns a line for each request that any node does not run.
+/// Returns a line for each request that is quarantined at any node.
 fn quarantined(fleet: &Fleet) -> Vec<String> {
-    let mut held: BTreeMap<&str, (usize, u64, usize)> = BTreeMap::new();
+    let mut requests: BTreeMap<&str, (usize, u64, usize)> = BTreeMap::new();
     for request in fleet.answered.iter().flat_map(|node| &node.quarantined) {
-        let (nodes, seconds, ends) = held.entry(&request.request).or_default();
+        let (nodes, seconds, crashes) = requests.entry(&request.request).or_default();
         *nodes += 1;
         *seconds = request.seconds.max(*seconds);
-        *ends = request.ends.max(*ends);
+        *crashes = request.ends.max(*crashes);
     }
     let all = fleet.answered.len();
-    let line = |(request, (nodes, seconds, ends)): (&str, (usize, u64, usize))| {
+    let line = |(request, (nodes, seconds, crashes)): (&str, (usize, u64, usize))| {
         format!(
-            "quarantined at {nodes} of {all} nodes: request {request}, for {seconds} s; {ends} upstreams ended \
+            "quarantined at {nodes} of {all} nodes: request {request}, for {seconds} s; {crashes} upstreams ended \
              under it"
         )
     };
-    held.into_iter().map(line).collect()
+    requests.into_iter().map(line).collect()
 }
 
-/// Returns a line for each data centre to which any node sends no work, and names the nodes that still send it.
+/// Returns a line for each evacuated data centre, with the nodes that do not know of the order yet.
 fn evacuated(fleet: &Fleet) -> Vec<String> {
     let mut orders: BTreeMap<&str, u64> = BTreeMap::new();
     for order in fleet.answered.iter().flat_map(|node| &node.evacuated) {
@@ -186,20 +187,20 @@
         *revision = order.revision.max(*revision);
     }
     let line = |(data_centre, revision): (&str, u64)| {
-        let has_heard = |node: &Node| node.evacuated.iter().any(|o| o.data_centre == data_centre);
+        let knows_order = |node: &Node| node.evacuated.iter().any(|o| o.data_centre == data_centre);
         let unaware: Vec<&str> = fleet
             .answered
             .iter()
-            .filter(|node| !has_heard(node))
+            .filter(|node| !knows_order(node))
             .map(|node| node.instance.as_str())
             .collect();
-        let heard = fleet.answered.len() - unaware.len();
+        let aware = fleet.answered.len() - unaware.len();
         let all = fleet.answered.len();
         let mut line =
-            format!("evacuated at {heard} of {all} nodes: {data_centre}, by revision {revision}");
+            format!("evacuated at {aware} of {all} nodes: {data_centre}, by revision {revision}");
         if !unaware.is_empty() {
             line.push_str("; not yet at ");
-            line.push_str(&unaware[..unaware.len().min(NAMED_MOST)].join(", "));
+            line.push_str(&unaware[..unaware.len().min(MAX_LISTED)].join(", "));
         }
         line
     };
--- a/crates/baobabctl/src/logs.rs
+++ b/crates/baobabctl/src/logs.rs
@@ -1,19 +1,20 @@
-//! Reading what nodes logged, from files.
+//! Reads the logs of nodes from files.
 
 use fleet::timeline::Event;
 use std::fs;
 use trace::Line;
 
-/// Lines of one or more logs, by kind.
+/// Lines of one or more logs, by kind, in the order of the files.
 #[derive(Debug, Default)]
 pub(crate) struct Logs {
-    /// What nodes decided about requests, in the order of the files.
+    /// Trace lines: decisions about requests.
     pub(crate) lines: Vec<Line>,
-    /// What nodes came to believe, in the order of the files.
+    /// Timeline events: changes of configuration, membership and quarantine.
     pub(crate) events: Vec<Event>,
 }
 
-/// Reads `files`; whatever stands before a line's JSON, such as a collector's time, is passed over.
+/// Reads `files`. Text before a line's JSON, such as a log collector's time, is skipped, and so are
+/// lines of other kinds.
 pub(crate) fn read(files: &[String]) -> Result<Logs, String> {
     let mut logs = Logs::default();
     for file in files {
--- a/crates/baobabctl/src/main.rs
+++ b/crates/baobabctl/src/main.rs
@@ -1,4 +1,4 @@
-//! The operators' command line: checks documents and asks nodes.
+//! The operators' command line: checks documents, queries nodes and reads their logs.
 
 mod check;
 mod fleet;
@@ -34,20 +34,21 @@
 exit status: 0 done, 1 the answer is no, 2 usage wrong
 ";
 
-/// How a command ended.
+/// Exit status of a command.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum End {
-    Done,
-    No,
+enum Exit {
+    Success,
+    /// Negative result, or the result cannot be obtained.
+    Failure,
     Usage,
 }
 
-impl From<End> for ExitCode {
-    fn from(end: End) -> ExitCode {
-        ExitCode::from(match end {
-            End::Done => 0,
-            End::No => 1,
-            End::Usage => 2,
+impl From<Exit> for ExitCode {
+    fn from(exit: Exit) -> ExitCode {
+        ExitCode::from(match exit {
+            Exit::Success => 0,
+            Exit::Failure => 1,
+            Exit::Usage => 2,
         })
     }
 }
@@ -56,57 +57,57 @@
     let mut arguments = Arguments::from_env();
     if arguments.contains("--help") {
         print!("{HELP}");
-        return End::Done.into();
+        return Exit::Success.into();
     }
     if arguments.contains("--version") {
         println!("baobabctl {}", env!("CARGO_PKG_VERSION"));
-        return End::Done.into();
+        return Exit::Success.into();
     }
-    let end = run(arguments).unwrap_or_else(|reason| {
+    let exit = run(arguments).unwrap_or_else(|reason| {
         eprintln!("baobabctl: {reason}; see --help");
-        End::Usage
+        Exit::Usage
     });
-    end.into()
+    exit.into()
 }
 
-fn run(mut arguments: Arguments) -> Result<End, String> {
+fn run(mut arguments: Arguments) -> Result<Exit, String> {
     let command = arguments.subcommand().map_err(|e| e.to_string())?;
     match command.as_deref() {
         Some("check") => Ok(check::run(&files(arguments)?)),
         Some("status") => {
-            let (node, form) = node_and_form(&mut arguments)?;
+            let (node, format) = node_and_format(&mut arguments)?;
             let all = arguments.contains("--all");
-            finish(arguments)?;
-            let extent = if all { fleet::Extent::All } else { fleet::Extent::Attention };
-            Ok(show::status(node, form, extent))
+            reject_rest(arguments)?;
+            let detail = if all { fleet::Detail::All } else { fleet::Detail::Problems };
+            Ok(show::status(node, format, detail))
         }
         Some("explain") => {
-            let (node, form) = node_and_form(&mut arguments)?;
+            let (node, format) = node_and_format(&mut arguments)?;
             let service: String = arguments.free_from_str().map_err(|e| e.to_string())?;
-            finish(arguments)?;
-            Ok(show::explain(node, &service, form))
+            reject_rest(arguments)?;
+            Ok(show::explain(node, &service, format))
         }
         Some("trace") => {
-            let form = form(&mut arguments);
+            let format = format(&mut arguments);
             let id: String = arguments.free_from_str().map_err(|e| e.to_string())?;
-            trace::run(&id, &files(arguments)?, form)
+            trace::run(&id, &files(arguments)?, format)
         }
         Some("timeline") => {
-            if !wants_node(&arguments) {
-                let form = form(&mut arguments);
-                return show::files(&files(arguments)?, form);
+            if !has_node_option(&arguments) {
+                let format = format(&mut arguments);
+                return show::logged_timeline(&files(arguments)?, format);
             }
-            let (node, form) = node_and_form(&mut arguments)?;
+            let (node, format) = node_and_format(&mut arguments)?;
             let follow = arguments.contains("--follow");
-            finish(arguments)?;
-            Ok(if follow { show::follow(node, form) } else { show::timeline(node, form) })
+            reject_rest(arguments)?;
+            Ok(if follow { show::follow(node, format) } else { show::timeline(node, format) })
         }
         Some(other) => Err(format!("unknown command {other}")),
         None => Err("name a command".to_owned()),
     }
 }
 
-/// Returns the files that are named; an option among them is a mistake.
+/// Returns the remaining arguments as files; fails on an unknown option or without any file.
 fn files(arguments: Arguments) -> Result<Vec<String>, String> {
     let files: Vec<String> =
         arguments.finish().into_iter().map(|a| a.to_string_lossy().into_owned()).collect();
@@ -117,21 +118,21 @@
     }
 }
 
-fn wants_node(arguments: &Arguments) -> bool {
+fn has_node_option(arguments: &Arguments) -> bool {
     arguments.clone().finish().iter().any(|argument| argument == "--node")
 }
 
-fn form(arguments: &mut Arguments) -> show::Form {
-    if arguments.contains("--json") { show::Form::Json } else { show::Form::Text }
+fn format(arguments: &mut Arguments) -> show::Format {
+    if arguments.contains("--json") { show::Format::Json } else { show::Format::Text }
 }
 
-fn node_and_form(arguments: &mut Arguments) -> Result<(SocketAddr, show::Form), String> {
-    let form = form(arguments);
+fn node_and_format(arguments: &mut Arguments) -> Result<(SocketAddr, show::Format), String> {
+    let format = format(arguments);
     let node = arguments.value_from_str("--node").map_err(|e| e.to_string())?;
-    Ok((node, form))
+    Ok((node, format))
 }
 
-fn finish(arguments: Arguments) -> Result<(), String> {
+fn reject_rest(arguments: Arguments) -> Result<(), String> {
     match arguments.finish().first() {
         None => Ok(()),
         Some(rest) => Err(format!("unknown argument {}", rest.to_string_lossy())),
--- a/crates/baobabctl/src/output.rs
+++ b/crates/baobabctl/src/output.rs
@@ -1,4 +1,4 @@
-//! Standard output, whose reader may stop reading: `baobabctl timeline FILE | head`.
+//! Prints to standard output, which may be closed early, as in `baobabctl timeline FILE | head`.
 
 use std::{
     fmt,
@@ -6,18 +6,18 @@
     process,
 };
 
-/// Prints one line, as `println!` does, to a reader that may go away.
-macro_rules! say {
+/// Prints one line like `println!`, but exits instead of panicking if the output is closed.
+macro_rules! print_line {
     ($($text:tt)*) => {
-        $crate::output::line(format_args!($($text)*))
+        $crate::output::write_line(format_args!($($text)*))
     };
 }
 
-pub(crate) use say;
+pub(crate) use print_line;
 
-/// Prints one line. If nobody reads any more, the command ends as if all had been read; if the output
-/// cannot be written for another reason, it ends with status 1 and the reason.
-pub(crate) fn line(text: fmt::Arguments<'_>) {
+/// Prints one line. On a broken pipe the process exits with status 0, on any other error with status 1
+/// and the error.
+pub(crate) fn write_line(text: fmt::Arguments<'_>) {
     let Err(error) = writeln!(io::stdout().lock(), "{text}") else { return };
     if error.kind() == ErrorKind::BrokenPipe {
         process::exit(0);
--- a/crates/baobabctl/src/show.rs
+++ b/crates/baobabctl/src/show.rs
@@ -1,4 +1,4 @@
-//! Asks a node and prints what it says.
+//! Commands that query a node, or read the logs of nodes, and print the result.
 
 use ::fleet::{
     clock::Stamp,
@@ -9,73 +9,76 @@
 use std::{net::SocketAddr, thread, time::Duration};
 
 use crate::{
-    End,
-    fleet::{self, Extent},
+    Exit,
+    fleet::{self, Detail},
     logs,
-    output::say,
+    output::print_line,
 };
 
-/// Time for an answer; the node itself waits up to 2 s for each group of other nodes.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout of a request; the node itself waits up to 2 s for each group of other nodes.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Time between two looks when following.
-const FOLLOW: Duration = Duration::from_secs(1);
+/// Interval between two requests of `timeline --follow`.
+const FOLLOW_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How answers are printed.
+/// Output format.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Form {
-    /// For people.
+pub(crate) enum Format {
+    /// Text for people.
     Text,
-    /// For programs.
+    /// JSON for programs.
     Json,
 }
 
-/// Prints the fleet; the answer is no while a node is behind, silent or holds a refused version.
-pub(crate) fn status(node: SocketAddr, form: Form, extent: Extent) -> End {
-    let Some(text) = fetch(node, "/fleet") else { return End::No };
-    let Some(fleet) = parse::<Fleet>(&text) else { return End::No };
-    if form == Form::Json {
-        say!("{text}");
+/// Prints the state of the fleet; fails while a node is behind, does not answer or has rejected a
+/// version that is not older than the newest one in force.
+pub(crate) fn status(node: SocketAddr, format: Format, detail: Detail) -> Exit {
+    let Some(text) = fetch(node, "/fleet") else { return Exit::Failure };
+    let Some(fleet) = parse::<Fleet>(&text) else { return Exit::Failure };
+    if format == Format::Json {
+        print_line!("{text}");
     } else {
-        fleet::lines(&fleet, extent).iter().for_each(|line| say!("{line}"));
+        fleet::lines(&fleet, detail).iter().for_each(|line| print_line!("{line}"));
     }
     let newest = fleet::newest_revision(&fleet);
-    let settled = fleet.silent.is_empty()
+    let is_converged = fleet.silent.is_empty()
         && fleet.answered.iter().all(|n| n.version.revision == newest)
         && fleet.answered.iter().all(|n| n.rejected.iter().all(|r| r.version.revision < newest));
-    if settled { End::Done } else { End::No }
+    if is_converged { Exit::Success } else { Exit::Failure }
 }
 
-/// Prints how a node would route calls to a service; the answer is no if it would refuse them.
-pub(crate) fn explain(node: SocketAddr, service: &str, form: Form) -> End {
-    let Some(text) = fetch(node, &format!("/explain?service={service}")) else { return End::No };
-    let Some(explanation) = parse::<Explanation>(&text) else { return End::No };
-    if form == Form::Json {
-        say!("{text}");
+/// Prints how a node would route calls to a service; fails if it would refuse them.
+pub(crate) fn explain(node: SocketAddr, service: &str, format: Format) -> Exit {
+    let Some(text) = fetch(node, &format!("/explain?service={service}")) else {
+        return Exit::Failure;
+    };
+    let Some(explanation) = parse::<Explanation>(&text) else { return Exit::Failure };
+    if format == Format::Json {
+        print_line!("{text}");
     } else {
         print_explanation(&explanation);
     }
-    let routable = explanation.known && explanation.upstreams.iter().any(|u| u.eligible);
-    if routable { End::Done } else { End::No }
+    let is_routable = explanation.known && explanation.upstreams.iter().any(|u| u.eligible);
+    if is_routable { Exit::Success } else { Exit::Failure }
 }
 
-/// Prints the events of all reachable nodes.
-pub(crate) fn timeline(node: SocketAddr, form: Form) -> End {
-    let Some(events) = events_after(node, Stamp::default()) else { return End::No };
-    events.iter().for_each(|e| event(e, form));
-    End::Done
+/// Prints the events of all reachable nodes, in causal order.
+pub(crate) fn timeline(node: SocketAddr, format: Format) -> Exit {
+    let Some(events) = events_after(node, Stamp::default()) else { return Exit::Failure };
+    events.iter().for_each(|e| print_event(e, format));
+    Exit::Success
 }
 
-/// Prints events as they happen, until interrupted.
-pub(crate) fn follow(node: SocketAddr, form: Form) -> End {
+/// Prints events as they happen, until the process is interrupted.
+pub(crate) fn follow(node: SocketAddr, format: Format) -> Exit {
     let mut last = Stamp::default();
     loop {
-        let Some(events) = events_after(node, last) else { return End::No };
+        let Some(events) = events_after(node, last) else { return Exit::Failure };
         for e in &events {
-            event(e, form);
+            print_event(e, format);
             last = last.max(e.stamp);
         }
-        thread::sleep(FOLLOW);
+        thread::sleep(FOLLOW_INTERVAL);
     }
 }
 
@@ -85,7 +88,7 @@
 }
 
 fn fetch(node: SocketAddr, path: &str) -> Option<String> {
-    let answer = attohttpc::get(format!("http://{node}{path}")).timeout(PATIENCE).send();
+    let answer = attohttpc::get(format!("http://{node}{path}")).timeout(REQUEST_TIMEOUT).send();
     let text = answer.and_then(attohttpc::Response::error_for_status).and_then(|a| a.text());
     text.map_err(|e| eprintln!("baobabctl: {node}: {e}")).ok()
 }
@@ -98,21 +101,21 @@
 fn print_explanation(explanation: &Explanation) {
     let Explanation { service, known, revision, profile, upstreams } = explanation;
     if !known {
-        say!("{service}: not in revision {revision}; calls are answered not-run");
+        print_line!("{service}: not in revision {revision}; calls are answered not-run");
         return;
     }
-    say!("{service}: revision {revision}");
+    print_line!("{service}: revision {revision}");
     let fields = serde_json::to_value(profile).unwrap_or_default();
     for (name, value) in fields.as_object().into_iter().flatten() {
-        say!("  {name}: {value}");
+        print_line!("  {name}: {value}");
     }
     if upstreams.is_empty() {
-        say!("no upstream is known; calls are answered not-run");
+        print_line!("no upstream is known; calls are answered not-run");
     }
     for upstream in upstreams {
         let mark = if upstream.eligible { "eligible" } else { "not eligible" };
         let latency = upstream.latency_ms.map_or("-".to_owned(), |ms| format!("{ms:.2} ms"));
-        say!(
+        print_line!(
             "{:<20} {:<14} {:<12} in flight {:<4} latency {:<10} {}",
             upstream.instance,
             upstream.data_centre,
@@ -124,19 +127,19 @@
     }
 }
 
-/// Prints the events that nodes logged into `files`, in causal order.
-pub(crate) fn files(files: &[String], form: Form) -> Result<End, String> {
+/// Prints the events in the logs `files`, in causal order; fails if there are none.
+pub(crate) fn logged_timeline(files: &[String], format: Format) -> Result<Exit, String> {
     let mut events = logs::read(files)?.events;
     events.sort_by(|a, b| (a.stamp, &a.node).cmp(&(b.stamp, &b.node)));
-    events.iter().for_each(|e| event(e, form));
-    Ok(if events.is_empty() { End::No } else { End::Done })
+    events.iter().for_each(|e| print_event(e, format));
+    Ok(if events.is_empty() { Exit::Failure } else { Exit::Success })
 }
 
-/// Prints one event.
-pub(crate) fn event(event: &Event, form: Form) {
+/// Prints one event as one line.
+pub(crate) fn print_event(event: &Event, format: Format) {
     let Ok(mut value) = serde_json::to_value(event) else { return };
-    if form == Form::Json {
-        say!("{value}");
+    if format == Format::Json {
+        print_line!("{value}");
         return;
     }
     let mut details = Vec::new();
@@ -146,7 +149,7 @@
         }
         details.extend(fields.iter().map(|(name, value)| format!("{name}={value}")));
     }
-    say!(
+    print_line!(
         "{} {:<20} {:<14} {}",
         clock_text(event.stamp.wall_ms()),
         event.node,
@@ -161,7 +164,7 @@
     name.unwrap_or("").to_owned()
 }
 
-/// Returns the time of day in UTC.
+/// Formats the UTC time of day of `ms` since the Unix epoch.
 pub(crate) fn clock_text(ms: u64) -> String {
     let seconds = ms / 1_000;
     let (hour, minute, second) = (seconds / 3_600 % 24, seconds / 60 % 60, seconds % 60);
--- a/crates/baobabctl/src/trace.rs
+++ b/crates/baobabctl/src/trace.rs
@@ -1,35 +1,35 @@
-//! All that was decided about one request, over all nodes.
+//! `baobabctl trace`: decisions of all nodes about one request.
 
 use fleet::timeline::{Event, Kind};
 use trace::{Line, Step};
 
 use crate::{
-    End,
+    Exit,
     logs::{self, Logs},
-    output::say,
-    show::{self, Form},
+    output::print_line,
+    show::{self, Format},
 };
 
-/// Prints the lines about `id` out of `files` in causal order, then what they were decided under,
-/// then one sentence for the cause.
-pub(crate) fn run(id: &str, files: &[String], form: Form) -> Result<End, String> {
+/// Prints the lines about `id` in the logs `files`, in causal order, then the events that they depend
+/// on, then one sentence for the cause. Fails if there are no lines.
+pub(crate) fn run(id: &str, files: &[String], format: Format) -> Result<Exit, String> {
     let logs = logs::read(files)?;
-    let own = |line: &&Line| line.id == id;
-    let lines = trace::sort_causally(logs.lines.iter().filter(own).cloned().collect());
-    match form {
-        Form::Json => lines.iter().for_each(print_json),
-        Form::Text => {
+    let has_id = |line: &&Line| line.id == id;
+    let lines = trace::sort_causally(logs.lines.iter().filter(has_id).cloned().collect());
+    match format {
+        Format::Json => lines.iter().for_each(print_json),
+        Format::Text => {
             lines.iter().for_each(print_line);
-            background(&lines, &logs).into_iter().for_each(|event| show::event(event, form));
-            say!("{}", trace::explain(&lines));
+            context(&lines, &logs).into_iter().for_each(|event| show::print_event(event, format));
+            print_line!("{}", trace::explain(&lines));
         }
     }
-    Ok(if lines.is_empty() { End::No } else { End::Done })
+    Ok(if lines.is_empty() { Exit::Failure } else { Exit::Success })
 }
 
 fn print_json(line: &Line) {
     if let Ok(text) = serde_json::to_string(line) {
-        say!("{text}");
+        print_line!("{text}");
     }
 }
 
@@ -42,16 +42,16 @@
         .collect();
     let event = value.get("event").and_then(|v| v.as_str()).unwrap_or("");
     let time = show::clock_text(line.t);
-    say!("{time} {:<20} {event:<10} {}", line.node, details.join(" "));
+    print_line!("{time} {:<20} {event:<10} {}", line.node, details.join(" "));
 }
 
-/// Returns the events that explain the decisions: when the revision came into force at the entry
-/// node, what it had last heard of each upstream that it chose, and since when it does not run the request.
-fn background<'a>(lines: &[Line], logs: &'a Logs) -> Vec<&'a Event> {
+/// Returns the events that explain the decisions: when the entry node put the revision in force, the
+/// last change of each chosen upstream that it knew, and when it quarantined the request.
+fn context<'a>(lines: &[Line], logs: &'a Logs) -> Vec<&'a Event> {
     let mut events = Vec::new();
     for line in lines {
         let at_node = |event: &&Event| event.node == line.node;
-        let fits: Box<dyn Fn(&&Event) -> bool> = match &line.step {
+        let matches: Box<dyn Fn(&&Event) -> bool> = match &line.step {
             Step::Routed { revision, .. } | Step::Unrouted { revision, .. } => {
                 let revision = *revision;
                 Box::new(move |event| match &event.kind {
@@ -60,22 +60,22 @@
                 })
             }
             Step::Quarantined { request } => {
-                let held = request.clone();
+                let fingerprint = request.clone();
                 Box::new(move |event| match &event.kind {
-                    Kind::Quarantined { request, .. } => *request == held,
+                    Kind::Quarantined { request, .. } => *request == fingerprint,
                     _ => false,
                 })
             }
             Step::Offered { upstream, .. } => {
-                let (upstream, until) = (upstream.clone(), line.t);
+                let (upstream, at) = (upstream.clone(), line.t);
                 Box::new(move |event| match &event.kind {
-                    Kind::Upstream { id, .. } => *id == upstream && event.stamp.wall_ms() <= until,
+                    Kind::Upstream { id, .. } => *id == upstream && event.stamp.wall_ms() <= at,
                     _ => false,
                 })
             }
             _ => continue,
         };
-        let found = logs.events.iter().filter(at_node).filter(fits).max_by_key(|e| e.stamp);
+        let found = logs.events.iter().filter(at_node).filter(matches).max_by_key(|e| e.stamp);
         events.extend(found.filter(|event| !events.contains(event)));
     }
     events
--- a/crates/baobabctl/tests/check.rs
+++ b/crates/baobabctl/tests/check.rs
@@ -1,4 +1,4 @@
-//! `baobabctl check` judges files as a node would.
+//! Faults and exit status of `baobabctl check`, and wrong usage.
 
 use std::{
     fs,
@@ -12,7 +12,7 @@
         .expect("the program can be run")
 }
 
-/// Writes files, checks them all, compares exit status and lines; FOLDER stands for the folder.
+/// Runs `check` on `files` and compares exit status and output, with paths relative to their folder.
 #[track_caller]
 fn check(files: &[(&str, &str)], status: i32, lines: &[&str]) {
     let folder = tempfile::tempdir().expect("a folder can be made");
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn faults_name_file_and_place() {
+fn faults_name_the_file_and_the_field() {
     check(
         &[("profiles/p.json", "{}"), ("services/s.json", r#"{"profile": "p"}"#)],
         0,
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn usage_is_told_by_exit_status() {
+fn exit_status_distinguishes_success_failure_and_wrong_usage() {
     assert_eq!(ctl(&["--help"]).status.code(), Some(0));
     assert_eq!(ctl(&["--version"]).status.code(), Some(0));
     assert_eq!(ctl(&[]).status.code(), Some(2));
--- a/crates/baobabctl/tests/fleet.rs
+++ b/crates/baobabctl/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! What an operator sees of a fleet of hundreds.
+//! Output of `baobabctl status` for a fleet of hundreds of nodes.
 
 use serde_json::{Value, json};
 use std::{
@@ -9,25 +9,25 @@
 };
 
 const NODES: usize = 295;
-const PLACES: [&str; 5] = ["ktm-a", "lalitpur-b", "bhaktapur-c", "kirtipur-d", "banepa-e"];
+const DATA_CENTRES: [&str; 5] = ["ktm-a", "lalitpur-b", "bhaktapur-c", "kirtipur-d", "banepa-e"];
 const NEWEST: u64 = 42;
 
-/// Lines of a screen.
-const SCREEN: usize = 50;
+/// Lines of a terminal, which the output of `status` must not exceed.
+const SCREEN_LINES: usize = 50;
 
 fn node(number: usize, revision: u64) -> Value {
     json!({
         "instance": format!("i-{number}"),
         "address": "10.0.0.1:7000",
         "service": "shelfview",
-        "data_centre": PLACES[number % PLACES.len()],
+        "data_centre": DATA_CENTRES[number % DATA_CENTRES.len()],
         "incarnation": 1,
         "product": "0.1.0",
         "state": "live",
         "version": { "revision": revision, "digest": "0".repeat(32) },
         "stamp": 1,
         "rejected": [],
-        "reader_rank": number / PLACES.len(),
+        "reader_rank": number / DATA_CENTRES.len(),
         "source_age_ms": 100,
         "stale_source": null,
         "members": [],
@@ -47,57 +47,58 @@
         "instance": format!("i-{number}"),
         "address": "10.0.0.1:7000",
         "service": "paydesk",
-        "data_centre": PLACES[number % PLACES.len()],
+        "data_centre": DATA_CENTRES[number % DATA_CENTRES.len()],
         "state": "unreachable",
     })
 }
 
-/// Serves one answer to one question.
+/// Serves `fleet` in response to one HTTP request; returns the address.
 fn serve(fleet: &Value) -> String {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("loopback has ports");
     let address = listener.local_addr().expect("it is bound").to_string();
     let text = fleet.to_string();
     thread::spawn(move || {
-        let (mut stream, _) = listener.accept().expect("somebody asks");
-        let _question = stream.read(&mut [0; 4_096]);
+        let (mut stream, _) = listener.accept().expect("a client connects");
+        let _request = stream.read(&mut [0; 4_096]);
         let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", text.len());
-        stream.write_all((head + &text).as_bytes()).expect("it is read");
+        stream.write_all((head + &text).as_bytes()).expect("the client reads the response");
     });
     address
 }
 
-/// Returns the exit status and the lines that `baobabctl status` prints of a fleet.
-fn status(behind: usize, silent_nodes: usize, words: &[&str]) -> (Option<i32>, Vec<String>) {
+/// Returns the exit status and output of `baobabctl status` for a fleet with `behind` outdated nodes
+/// and `silent_nodes` that do not answer.
+fn status(behind: usize, silent_nodes: usize, flags: &[&str]) -> (Option<i32>, Vec<String>) {
     let revision = |number| if number < behind { NEWEST - 3 } else { NEWEST };
     let answered: Vec<Value> =
         (0..NODES - silent_nodes).map(|number| node(number, revision(number))).collect();
-    let missing: Vec<Value> = (NODES - silent_nodes..NODES).map(silent).collect();
-    let fleet = json!({ "node": node(0, NEWEST), "answered": answered, "silent": missing });
+    let unanswered: Vec<Value> = (NODES - silent_nodes..NODES).map(silent).collect();
+    let fleet = json!({ "node": node(0, NEWEST), "answered": answered, "silent": unanswered });
     let address = serve(&fleet);
     let mut command = Command::new(env!("CARGO_BIN_EXE_baobabctl"));
-    let output = command.args(["status", "--node", &address]).args(words).output();
+    let output = command.args(["status", "--node", &address]).args(flags).output();
     let output = output.expect("the program starts");
     let text = String::from_utf8(output.stdout).expect("it prints text");
     (output.status.code(), text.lines().map(str::to_owned).collect())
 }
 
-/// At night an operator asks how far a version has come and gets three hundred lines, of which two matter.
+/// Guards against one line per node, which would hide the nodes that need attention.
 #[test]
-fn hundreds_of_nodes_fit_on_a_screen() {
+fn status_of_hundreds_of_nodes_fits_on_one_screen() {
     for (behind, silent_nodes) in [(0, 0), (5, 3), (200, 0), (0, 59)] {
         let (code, lines) = status(behind, silent_nodes, &[]);
-        assert!(lines.len() <= SCREEN, "{} lines", lines.len());
+        assert!(lines.len() <= SCREEN_LINES, "{} lines", lines.len());
         let in_force = NODES - behind - silent_nodes;
         let progress =
             format!("newest version in force: revision {NEWEST}, at {in_force} of {NODES} nodes");
         assert_eq!(lines[0], progress);
-        assert!(PLACES.iter().all(|place| lines.iter().any(|line| line.starts_with(place))));
+        assert!(DATA_CENTRES.iter().all(|name| lines.iter().any(|line| line.starts_with(name))));
         assert_eq!(code, Some(i32::from(behind + silent_nodes > 0)));
     }
 }
 
 #[test]
-fn who_lags_and_who_is_silent_is_named() {
+fn nodes_that_are_behind_or_do_not_answer_are_listed() {
     let (_, lines) = status(2, 1, &[]);
     let about = |id: &str| lines.iter().find(|line| line.starts_with(&format!("{id} ")));
     assert!(about("i-1").is_some_and(|line| line.contains("behind by 3 revisions")));
@@ -105,27 +106,30 @@
     assert!(about("i-100").is_none());
 }
 
-/// Callers are told that their request is quarantined, and the operator cannot see which requests are, and where.
+/// Guards against quarantined requests that the operator cannot see.
 #[test]
-fn what_is_quarantined_is_told_once() {
+fn a_quarantined_request_is_printed_once() {
     let (_, lines) = status(0, 0, &[]);
-    let held: Vec<&String> = lines.iter().filter(|line| line.contains("00ff")).collect();
+    let printed: Vec<&String> = lines.iter().filter(|line| line.contains("00ff")).collect();
     let expect =
         "quarantined at 10 of 295 nodes: request 00ff, for 509 s; 3 upstreams ended under it";
-    assert_eq!(held, [expect]);
+    assert_eq!(printed, [expect]);
 }
 
 #[test]
-fn all_nodes_are_named_if_asked_for() {
+fn the_flag_all_lists_every_node() {
     let (_, lines) = status(200, 0, &["--all"]);
-    let named = |n: usize| lines.iter().any(|line| line.starts_with(&format!("i-{n} ")));
-    assert!((0..NODES).all(named));
+    let is_listed = |n: usize| lines.iter().any(|line| line.starts_with(&format!("i-{n} ")));
+    assert!((0..NODES).all(is_listed));
 }
 
-/// An operator cannot see whether a data centre is empty: who knows of the order, and who does not yet.
+/// Guards against an evacuation whose progress the operator cannot see.
 #[test]
-fn an_evacuated_data_centre_is_told_once_with_the_nodes_that_have_not_heard() {
+fn an_evacuated_data_centre_is_printed_once_with_the_nodes_that_do_not_know_of_it() {
     let (_, lines) = status(0, 0, &[]);
-    let told: Vec<&String> = lines.iter().filter(|line| line.contains("evacuated")).collect();
-    assert_eq!(told, ["evacuated at 294 of 295 nodes: lalitpur-b, by revision 41; not yet at i-0"]);
+    let printed: Vec<&String> = lines.iter().filter(|line| line.contains("evacuated")).collect();
+    assert_eq!(
+        printed,
+        ["evacuated at 294 of 295 nodes: lalitpur-b, by revision 41; not yet at i-0"]
+    );
 }
--- a/crates/baobabctl/tests/output.rs
+++ b/crates/baobabctl/tests/output.rs
@@ -1,4 +1,4 @@
-//! What the commands print to a reader that stops reading.
+//! Output to a pipe whose reader closes it early.
 
 use std::{
     fs,
@@ -6,16 +6,15 @@
     process::{Command, Stdio},
 };
 
-/// An operator looks at the first events of a night with `| head` and gets a panic: the command went
-/// on writing to a pipe that nobody reads.
+/// Guards against a panic on a broken pipe, as in `baobabctl timeline FILE | head`.
 #[test]
-fn a_reader_that_stops_reading_ends_the_command_quietly() {
+fn a_closed_pipe_ends_the_command_without_an_error() {
     let folder = tempfile::tempdir().expect("a folder can be made");
     let path = folder.path().join("node.log");
     let event = |n: u64| {
         format!("{{\"stamp\":{},\"node\":\"n\",\"event\":\"source-back\"}}\n", (1_000 + n) << 16)
     };
-    // Far more than a pipe holds.
+    // Exceeds the buffer of a pipe.
     fs::write(&path, (0..20_000).map(event).collect::<String>()).expect("the file is written");
     let mut child = Command::new(env!("CARGO_BIN_EXE_baobabctl"))
         .arg("timeline")
--- a/crates/baobabctl/tests/trace.rs
+++ b/crates/baobabctl/tests/trace.rs
@@ -1,8 +1,8 @@
-//! `baobabctl trace` and `timeline` out of what nodes logged.
+//! `baobabctl trace` and `timeline` on the logs of two nodes.
 
 use std::{fs, process::Command};
 
-/// What two nodes logged; the clock of the serving one is five seconds behind.
+/// Log of the entry node; the clock of the serving node is 5 s behind.
 const ENTRY: &str = r#"
 2026-12-02T20:00:00Z {"stamp":655360000000,"node":"entry","event":"in-force","version":{"revision":7,"digest":"00000000000000000000000000000000"},"from":null}
 {"stamp":655360000001,"node":"entry","event":"upstream","id":"i-1","service":"stock","address":"10.0.0.2:80","change":"listed","revision":6,"from":null}
@@ -18,12 +18,13 @@
 a line of somebody else
 "#;
 
+/// Log of the serving node.
 const SERVING: &str = r#"
 {"t":9995010,"node":"serving","id":"9c41","event":"claimed","attempt":4,"upstream":"i-1","decision":"overloaded","busy":9,"waiting":3,"waited_ms":25,"left_ms":1100}
 {"t":9995011,"node":"serving","id":"other","event":"claimed","attempt":5,"upstream":"i-1","decision":"run","busy":9,"waiting":3,"waited_ms":0,"left_ms":1100}
 "#;
 
-/// Runs the tool on both logs and returns what it prints and its exit status.
+/// Runs the command on both logs; returns its output and exit status.
 fn ctl(arguments: &[&str]) -> (String, Option<i32>) {
     let folder = tempfile::tempdir().expect("a folder can be made");
     let mut command = Command::new(env!("CARGO_BIN_EXE_baobabctl"));
@@ -37,6 +38,7 @@
     (String::from_utf8_lossy(&output.stdout).into_owned(), output.status.code())
 }
 
+/// Compares the exit status, and finds the parts `expect` in the output in this order.
 #[track_caller]
 fn check(arguments: &[&str], status: i32, expect: &[&str]) {
     let (printed, code) = ctl(arguments);
@@ -49,7 +51,7 @@
 }
 
 #[test]
-fn a_request_is_told_in_causal_order_with_what_decided_it() {
+fn a_trace_is_in_causal_order_and_shows_the_events_behind_it() {
     check(
         &["trace", "9c41"],
         0,
@@ -66,24 +68,22 @@
     );
 }
 
-/// A caller is turned away from a route that the operators have published. Whoever asks why must see
-/// that the node was behind, and since when it held what it held.
+/// The trace must show that the node was behind, and since when its revision was in force.
 #[test]
-fn a_request_that_led_nowhere_is_told_with_the_revision_that_decided() {
+fn a_trace_of_an_unrouted_request_shows_the_revision_in_force() {
     let outdated = "no route led anywhere in the configuration of the node";
     check(&["trace", "77a0"], 0, &["unrouted", "revision=7 expected=9", "in-force", outdated]);
 }
 
-/// A caller is told to come back in ten minutes. Whoever asks why must see which request is meant, and under how many
-/// ends of upstreams.
+/// The trace must show which request is quarantined, and after how many crashes of upstreams.
 #[test]
-fn a_quarantined_request_is_told_with_the_ends_under_it() {
-    let held = "upstreams ended under the same request";
-    check(&["trace", "88b1"], 0, &["quarantined", "request=\"00ff\"", "ends", held]);
+fn a_trace_of_a_quarantined_request_shows_the_crashes() {
+    let cause = "upstreams ended under the same request";
+    check(&["trace", "88b1"], 0, &["quarantined", "request=\"00ff\"", "ends", cause]);
 }
 
 #[test]
-fn unknown_requests_and_wrong_usage_are_told() {
+fn unknown_requests_and_wrong_usage_are_reported() {
     check(&["trace", "none"], 1, &["No line about this request"]);
     check(&["trace", "9c41", "--what"], 2, &[]);
     check(&["timeline"], 0, &["in-force", "upstream"]);
