--- a/crates/baobabrelayd/src/main.rs
+++ b/crates/baobabrelayd/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon: reads its settings, starts a node and stops it in an orderly way.
+//! The daemon: reads its settings and runs a node until a planned stop.
 
 use node::{
     Node,
@@ -9,21 +9,21 @@
 use std::{fs, process::ExitCode};
 
 const HELP: &str = "\
-baobabrelayd: carries calls to the services of a mesh, beside one upstream
+baobabrelayd: proxies calls to the services of a mesh, beside one upstream
 
 usage: baobabrelayd --settings FILE [--check]
 
   --settings FILE  JSON settings; docs/SETTINGS.md lists them
-  --check          checks the settings, prints every fault and exits
+  --check          validates the settings, prints every fault and exits
   --help           prints this text
   --version        prints the version
 
-SIGTERM or SIGINT is a planned stop: no new work, calls in hand are finished. SIGHUP reads the
-settings again; so does a change of the file, within some seconds.
-exit status: 0 done, 1 the node could not start, 2 usage or settings wrong
+SIGTERM and SIGINT begin a planned stop: new calls are refused, calls in flight are finished. SIGHUP
+reloads the settings; so does a change of the file, within a few seconds.
+exit status: 0 success, 1 the node could not start, 2 invalid usage or settings
 ";
 
-const USAGE: u8 = 2;
+const INVALID_USAGE: u8 = 2;
 
 fn main() -> ExitCode {
     let mut arguments = Arguments::from_env();
@@ -48,7 +48,7 @@
         Ok(settings) => settings,
         Err(faults) => {
             faults.iter().for_each(|fault| eprintln!("{fault}"));
-            return ExitCode::from(USAGE);
+            return ExitCode::from(INVALID_USAGE);
         }
     };
     if check {
@@ -81,7 +81,7 @@
 
 fn usage(reason: &str) -> ExitCode {
     eprintln!("baobabrelayd: {reason}; see --help");
-    ExitCode::from(USAGE)
+    ExitCode::from(INVALID_USAGE)
 }
 
 fn fail(reason: &str) -> ExitCode {
--- a/crates/baobabrelayd/tests/poison_request.rs
+++ b/crates/baobabrelayd/tests/poison_request.rs
@@ -1,11 +1,4 @@
-//! Requests that end the process of every upstream that runs them.
-//!
-//! Chefs wait for counts that nobody answers: one lookup ended each upstream that ran it, the caller asked
-//! again at the next node, and its upstream ended too, and those that had come back after it, until none was
-//! left for minutes.
-//!
-//! Cause: each attempt was a fresh call to every node, and nothing was kept of what ran when an upstream ended.
-//! Seen without the memory of it: 14 upstreams ended in 14 attempts.
+//! Poison requests: requests that crash every upstream that runs them.
 
 use standins::{
     caller::{Answer, Call, Caller},
@@ -14,23 +7,23 @@
 };
 use std::{path::PathBuf, thread, time::Duration};
 
-/// Time after which the test gives up waiting.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Timeout of every wait.
+const TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Time between two attempts: longer than an upstream takes to come back.
-const PAUSE: Duration = Duration::from_millis(700);
+/// Interval between two attempts; exceeds the restart time of an upstream.
+const ATTEMPT_INTERVAL: Duration = Duration::from_millis(700);
 
-/// Nodes, each beside an upstream.
+/// Nodes, each with one upstream.
 const NODES: usize = 5;
 
 /// Attempts of the caller.
 const ATTEMPTS: usize = 14;
 
-/// Ends after which nobody may doubt the cause.
-const PROOF: usize = 3;
+/// Crashes after which a request is quarantined.
+const CRASHES_TO_QUARANTINE: usize = 3;
 
-/// Ends while word of that spreads.
-const SPREADING: usize = 3;
+/// Crashes while the quarantine reaches the other nodes.
+const CRASHES_DURING_GOSSIP: usize = 3;
 
 fn mesh() -> Mesh {
     let settings = Settings {
@@ -43,8 +36,8 @@
         ("profiles/p", Some(r#"{"attempts": 1}"#)),
         ("services/counts", Some(r#"{"profile": "p"}"#)),
     ]);
-    mesh.wait_in_force(revision, PATIENCE).expect("the first version comes into force");
-    mesh.wait_upstreams("counts", NODES, PATIENCE).expect("the nodes meet");
+    mesh.wait_in_force(revision, TIMEOUT).expect("the first version comes into force");
+    mesh.wait_upstreams("counts", NODES, TIMEOUT).expect("the nodes meet");
     mesh
 }
 
@@ -54,26 +47,30 @@
     answer.unwrap_or_else(|_| panic!("node {node} answers"))
 }
 
-fn ends(mesh: &Mesh) -> usize {
+fn crashes(mesh: &Mesh) -> usize {
     mesh.spots.iter().map(|spot| spot.upstream.ledger().ends.len()).sum()
 }
 
+/// Guards against retries that carry a poison request from upstream to upstream.
 #[test]
 fn a_poison_request_is_quarantined_before_it_crashes_every_upstream() {
     let mesh = mesh();
-    let fatal = format!("/counts{FATAL}");
+    let poison = format!("/counts{FATAL}");
     let mut last = None;
     for attempt in 0..ATTEMPTS {
-        last = Some(call(&mesh, attempt % NODES, &fatal));
-        thread::sleep(PAUSE);
+        last = Some(call(&mesh, attempt % NODES, &poison));
+        thread::sleep(ATTEMPT_INTERVAL);
     }
-    let ends = ends(&mesh);
-    assert!(ends <= PROOF + SPREADING, "{ends} upstreams ended under one request");
+    let crashes = crashes(&mesh);
+    assert!(
+        crashes <= CRASHES_TO_QUARANTINE + CRASHES_DURING_GOSSIP,
+        "{crashes} upstreams crashed on one request"
+    );
     let last = last.expect("attempts were made");
     assert_eq!((last.status, last.outcome()), (503, "not-run"));
     assert_eq!(last.header("baobab-cause"), "quarantined");
     for node in 0..NODES {
-        let served = |mesh: &Mesh| call(mesh, node, "/counts/today").outcome() == "answered";
-        mesh.wait(PATIENCE, served).expect("other requests are served");
+        let is_served = |mesh: &Mesh| call(mesh, node, "/counts/today").outcome() == "answered";
+        mesh.wait(TIMEOUT, is_served).expect("other requests are served");
     }
 }
--- a/crates/baobabrelayd/tests/settings.rs
+++ b/crates/baobabrelayd/tests/settings.rs
@@ -1,11 +1,11 @@
-//! The daemon's command line and its settings.
+//! Command line of the daemon and validation of its settings.
 
 use std::{
     fs,
     process::{Command, Output},
 };
 
-const GOOD: &str = r#"{
+const VALID: &str = r#"{
     "instance": "paydesk-1", "service": "paydesk", "data_centre": "ktm-a",
     "listen": {"traffic": "127.0.0.1:1", "peers": "127.0.0.1:2", "operators": "127.0.0.1:3"},
     "upstream": {"address": "127.0.0.1:4", "slots": 10},
@@ -19,9 +19,9 @@
         .expect("the daemon can be run")
 }
 
-/// Checks settings; compares exit status and the places of the faults.
+/// Runs `--check` on the settings `text`; compares the exit status and the JSON pointers of the faults.
 #[track_caller]
-fn check(text: &str, status: i32, places: &[&str]) {
+fn check(text: &str, status: i32, pointers: &[&str]) {
     let folder = tempfile::tempdir().expect("a folder can be made");
     let file = folder.path().join("node.json");
     fs::write(&file, text).expect("the file can be written");
@@ -29,12 +29,12 @@
     let errors = String::from_utf8_lossy(&output.stderr).into_owned();
     assert_eq!(output.status.code(), Some(status), "{errors}");
     let found: Vec<&str> = errors.lines().filter_map(|line| line.split(": ").nth(1)).collect();
-    assert_eq!(found, places, "{errors}");
+    assert_eq!(found, pointers, "{errors}");
 }
 
 #[test]
-fn settings_are_checked_as_a_whole() {
-    check(GOOD, 0, &[]);
+fn check_reports_every_fault_of_the_settings() {
+    check(VALID, 0, &[]);
     check(
         "{}",
         2,
@@ -49,14 +49,14 @@
             "/platform",
         ],
     );
-    check(&GOOD.replace("\"slots\": 10", "\"slots\": 0"), 2, &["/upstream/slots"]);
-    check(&GOOD.replace("\"platform\"", "\"plan\": \"gossip\", \"platform\""), 2, &["/plan"]);
-    check(&GOOD.replace("\"platform\"", "\"platfrom\""), 2, &["/platform", "/platfrom"]);
+    check(&VALID.replace("\"slots\": 10", "\"slots\": 0"), 2, &["/upstream/slots"]);
+    check(&VALID.replace("\"platform\"", "\"plan\": \"gossip\", \"platform\""), 2, &["/plan"]);
+    check(&VALID.replace("\"platform\"", "\"platfrom\""), 2, &["/platform", "/platfrom"]);
     check("{", 2, &[""]);
 }
 
 #[test]
-fn usage_is_told_by_exit_status() {
+fn exit_status_distinguishes_success_and_wrong_usage() {
     assert_eq!(daemon(&["--help"]).status.code(), Some(0));
     assert_eq!(daemon(&["--version"]).status.code(), Some(0));
     assert_eq!(daemon(&[]).status.code(), Some(2));
