--- a/crates/baobabrelayd/tests/fatal.rs
+++ b/crates/baobabrelayd/tests/fatal.rs
@@ -10,7 +10,7 @@
 use standins::{
     caller::{Answer, Call, Caller},
     mesh::{Mesh, Settings, places},
-    upstream::FATAL,
+    upstream::POISON_SUFFIX,
 };
 use std::{path::PathBuf, thread, time::Duration};
 
@@ -49,19 +49,19 @@
 }
 
 fn call(mesh: &Mesh, node: usize, path: &str) -> Answer {
-    let mut caller = Caller::new(mesh.spots[node].traffic);
+    let mut caller = Caller::new(mesh.instances[node].traffic);
     let answer = mesh.runtime().block_on(caller.call(&Call::get(path)));
     answer.unwrap_or_else(|_| panic!("node {node} answers"))
 }
 
 fn ends(mesh: &Mesh) -> usize {
-    mesh.spots.iter().map(|spot| spot.upstream.ledger().ends.len()).sum()
+    mesh.instances.iter().map(|instance| instance.upstream.ledger().crashes.len()).sum()
 }
 
 #[test]
 fn a_request_that_ends_upstreams_is_not_sent_to_one_after_the_other() {
     let mesh = mesh();
-    let fatal = format!("/counts{FATAL}");
+    let fatal = format!("/counts{POISON_SUFFIX}");
     let mut last = None;
     for attempt in 0..ATTEMPTS {
         last = Some(call(&mesh, attempt % NODES, &fatal));
--- a/crates/baobabrelayd/tests/process.rs
+++ b/crates/baobabrelayd/tests/process.rs
@@ -31,7 +31,7 @@
     let settings = Settings {
         daemon: PathBuf::from(env!("CARGO_BIN_EXE_baobabrelayd")),
         instances,
-        upstream: upstream::Settings { work, ..upstream::Settings::default() },
+        upstream: upstream::Settings { service_time: work, ..upstream::Settings::default() },
         ..Settings::default()
     };
     let mesh = Mesh::start(&settings).expect("the processes can be started");
@@ -46,12 +46,12 @@
 }
 
 fn call(mesh: &Mesh, call: &Call) -> Answer {
-    let entry = mesh.spots[0].traffic;
+    let entry = mesh.instances[0].traffic;
     mesh.runtime().block_on(Caller::new(entry).call(call)).expect("the entry node answers")
 }
 
 fn runs(mesh: &Mesh, work: &str) -> u32 {
-    mesh.spots.iter().filter_map(|s| s.upstream.ledger().begun.get(work).copied()).sum()
+    mesh.instances.iter().filter_map(|s| s.upstream.ledger().runs_by_work.get(work).copied()).sum()
 }
 
 /// Compares what a caller was told about `work` with the ledgers.
@@ -94,15 +94,15 @@
 #[test]
 fn a_killed_serving_node_leaves_the_outcome_unknown() {
     let mut mesh = mesh(2, Duration::ZERO);
-    for spot in &mesh.spots {
-        spot.upstream.set_mode(Mode::Silent);
+    for instance in &mesh.instances {
+        instance.upstream.set_mode(Mode::Silent);
     }
-    let entry = mesh.spots[0].traffic;
+    let entry = mesh.instances[0].traffic;
     let told = mesh
         .runtime()
         .spawn(async move { Caller::new(entry).call(&Call::post("/paydesk/pay", "w")).await });
     mesh.wait(PATIENCE, |mesh| runs(mesh, "w") == 1).expect("the payment is begun");
-    let serving = (1..3).find(|&i| mesh.spots[i].upstream.ledger().runs == 1);
+    let serving = (1..3).find(|&i| mesh.instances[i].upstream.ledger().runs == 1);
     mesh.kill_node(serving.expect("one upstream has it")).expect("the process can be killed");
     let told = mesh.runtime().block_on(told).expect("the task ends").expect("an answer comes");
     assert_eq!((told.outcome(), runs(&mesh, "w")), ("unknown", 1));
@@ -113,16 +113,16 @@
 #[test]
 fn a_killed_entry_node_frees_the_slot() {
     let mut mesh = mesh(1, Duration::ZERO);
-    mesh.spots[1].upstream.set_mode(Mode::Silent);
-    let entry = mesh.spots[0].traffic;
+    mesh.instances[1].upstream.set_mode(Mode::Silent);
+    let entry = mesh.instances[0].traffic;
     let told = mesh
         .runtime()
         .spawn(async move { Caller::new(entry).call(&Call::post("/paydesk/pay", "w")).await });
     mesh.wait(PATIENCE, |mesh| runs(mesh, "w") == 1).expect("the payment is begun");
     mesh.kill_node(0).expect("the process can be killed");
     assert!(mesh.runtime().block_on(told).expect("the task ends").is_err());
-    mesh.spots[1].upstream.set_mode(Mode::Normal);
-    let other = mesh.spots[1].traffic;
+    mesh.instances[1].upstream.set_mode(Mode::Normal);
+    let other = mesh.instances[1].traffic;
     let posts: Vec<String> = (0..12).map(|i| format!("next-{i}")).collect();
     for work in &posts {
         let answer =
@@ -136,7 +136,7 @@
 #[test]
 fn a_planned_stop_cuts_nothing() {
     let mut mesh = mesh(3, Duration::from_millis(40));
-    let entry = mesh.spots[0].traffic;
+    let entry = mesh.instances[0].traffic;
     let workers: Vec<_> = (0..4)
         .map(|worker| {
             mesh.runtime().spawn(async move {
@@ -152,7 +152,7 @@
             })
         })
         .collect();
-    mesh.wait(PATIENCE, |mesh| mesh.spots[2].upstream.busy() > 0).expect("work has begun");
+    mesh.wait(PATIENCE, |mesh| mesh.instances[2].upstream.busy() > 0).expect("work has begun");
     assert_eq!(mesh.stop_node(2).expect("the process can be stopped"), Some(0));
     for worker in workers {
         for (work, outcome) in mesh.runtime().block_on(worker).expect("the task ends") {
@@ -172,11 +172,11 @@
     let profile = r#"{"deadline_ms": 20000, "drain_ms": 1000}"#;
     let revision = mesh.platform.publish(&[("profiles/p", Some(profile))]);
     mesh.wait_in_force(revision, PATIENCE).expect("the bound comes into force");
-    let entry = mesh.spots[0].traffic;
+    let entry = mesh.instances[0].traffic;
     let mut idle = Caller::new(entry);
     let kept = mesh.runtime().block_on(idle.call(&Call::get("/paydesk/till")));
     assert_eq!(kept.expect("the entry node answers").outcome(), "answered");
-    mesh.spots[1].upstream.set_mode(Mode::Silent);
+    mesh.instances[1].upstream.set_mode(Mode::Silent);
     mesh.platform.set_mode(platform::Mode::Slow(PATIENCE));
     let told = mesh
         .runtime()
@@ -186,7 +186,7 @@
     assert_eq!(mesh.stop_node(0).expect("the process can be stopped"), Some(0));
     let told = mesh.runtime().block_on(told).expect("the task ends");
     assert!(told.is_err(), "the stop outlived its bound: {told:?}");
-    let log = fs::read_to_string(mesh.folder().join(format!("{}.log", mesh.spots[0].instance)));
+    let log = fs::read_to_string(mesh.folder().join(format!("{}.log", mesh.instances[0].name)));
     let log = log.expect("the node has a log");
     let steps: Vec<&str> = log.lines().filter(|line| line.contains(r#""event":"stop""#)).collect();
     assert_eq!(steps.len(), 2, "{steps:?}");
@@ -234,7 +234,7 @@
     );
     let inputs: [&[u8]; 4] =
         [b"\0\xff\xfe garbage\r\n\r\n", post.as_bytes(), b"GET /explain HTTP/1.1\r\n\r\n", b""];
-    for port in [mesh.spots[1].traffic, mesh.spots[1].peers, mesh.spots[1].operators] {
+    for port in [mesh.instances[1].traffic, mesh.instances[1].peers, mesh.instances[1].operators] {
         for input in inputs {
             let mut stream = TcpStream::connect(port).expect("the node listens");
             stream.write_all(input).expect("the node reads");
--- a/crates/fleet/tests/herd_restart.rs
+++ b/crates/fleet/tests/herd_restart.rs
@@ -1,13 +1,13 @@
 //! Herd restarts: the platform's limit of reads holds, and everything is in force again.
 
 use standins::{
-    memory::{Net, Options, Source},
     platform::READS_PER_SECOND,
+    simulation::{Net, Options, Source},
 };
 use std::time::Duration;
 
-fn net(nodes: usize, contacts: usize) -> Net {
-    let options = Options { nodes, data_centres: 6, services: 12, contacts, ..Options::default() };
+fn net(nodes: usize, seeds: usize) -> Net {
+    let options = Options { nodes, data_centres: 6, services: 12, seeds, ..Options::default() };
     let mut net = Net::new(options);
     net.publish("profiles/base", Some("{}"));
     net.publish("services/service-0", Some(r#"{"profile": "base"}"#));
@@ -18,20 +18,20 @@
 /// Restarts every node while the platform is in `source`, which ends after ten seconds; compares
 /// how long it takes from then, or from the restart, until all is in force.
 #[track_caller]
-fn check(source: Source, contacts: usize, limit: Duration) {
-    let mut net = net(120, contacts);
-    net.peak = 0;
+fn check(source: Source, seeds: usize, limit: Duration) {
+    let mut net = net(120, seeds);
+    net.peak_reads = 0;
     net.set_source(source);
     (0..net.len()).for_each(|node| net.start(node));
     if source != Source::Up {
         net.run(Duration::from_secs(10));
         net.set_source(Source::Up);
     }
-    let newest = net.newest_good();
+    let newest = net.newest_valid();
     let healed = net.run_until_in_force(newest, limit);
     assert!(healed.is_some(), "{source:?}: not in force after {limit:?}");
-    assert!(net.peak <= READS_PER_SECOND, "{source:?}: {} reads in a second", net.peak);
-    assert_eq!(net.broken, Vec::<String>::new());
+    assert!(net.peak_reads <= READS_PER_SECOND, "{source:?}: {} reads in a second", net.peak_reads);
+    assert_eq!(net.violations, Vec::<String>::new());
 }
 
 /// At opening time no till is served: after a power cut every node starts in the same second, each
@@ -53,13 +53,17 @@
 #[track_caller]
 fn check_strangers(source: Source) {
     let options =
-        Options { nodes: 570, data_centres: 6, services: 48, contacts: 0, ..Options::default() };
+        Options { nodes: 570, data_centres: 6, services: 48, seeds: 0, ..Options::default() };
     let mut net = Net::new(options);
     net.set_source(source);
     let newest = net.publish("profiles/base", Some("{}"));
     let begun = net.run_until_in_force(newest, Duration::from_secs(5));
     assert!(begun.is_some(), "{source:?}: not in force");
-    assert!(net.peak <= READS_PER_SECOND / 2, "{source:?}: {} reads in a second", net.peak);
+    assert!(
+        net.peak_reads <= READS_PER_SECOND / 2,
+        "{source:?}: {} reads in a second",
+        net.peak_reads
+    );
 }
 
 /// The same at the size of two years from now, with not one contact known.
@@ -73,11 +77,11 @@
 #[test]
 fn a_data_centre_restarts() {
     let mut net = net(60, 4);
-    net.peak = 0;
+    net.peak_reads = 0;
     (0..net.len()).filter(|node| node % 6 == 2).for_each(|node| net.start(node));
-    let newest = net.newest_good();
+    let newest = net.newest_valid();
     assert!(net.run_until_in_force(newest, Duration::from_secs(3)).is_some());
-    assert!(net.peak <= 60, "{} reads in a second", net.peak);
+    assert!(net.peak_reads <= 60, "{} reads in a second", net.peak_reads);
 }
 
 /// A node that joins hundreds gets their records in parts, and still knows all within a moment.
--- a/crates/fleet/tests/leaving.rs
+++ b/crates/fleet/tests/leaving.rs
@@ -1,7 +1,7 @@
 //! Leaving, being told to leave, pauses and false suspicion.
 
 use fleet::member::State;
-use standins::memory::{Net, Options, address};
+use standins::simulation::{Net, Options, address};
 use std::time::Duration;
 
 fn net(nodes: usize) -> Net {
@@ -93,9 +93,9 @@
 #[test]
 fn a_suspicion_from_before_a_pause_is_not_executed() {
     let mut net = net(24);
-    net.separate(5, 1);
+    net.set_partition(5, 1);
     net.run(Duration::from_millis(2_300));
-    net.join();
+    net.heal_partitions();
     net.pause(5, Duration::from_secs(60));
     net.run(Duration::from_secs(60));
     for _ in 0..50 {
--- a/crates/fleet/tests/matrix.rs
+++ b/crates/fleet/tests/matrix.rs
@@ -1,9 +1,9 @@
 //! The fault matrix of the spread: every fault at every step of a version's way to all nodes.
 
 use standins::{
-    memory::{Net, Options, Source},
     platform::READS_PER_SECOND,
-    script::BOUND,
+    script::CONVERGENCE_LIMIT,
+    simulation::{Net, Options, Source},
 };
 use std::time::Duration;
 
@@ -58,14 +58,14 @@
         Fault::Kill => net.kill(node),
         Fault::Restart => net.start(node),
         Fault::Pause => net.pause(node, SPAN),
-        Fault::Separate => net.separate(node, 1),
-        Fault::Halve => (0..NODES / 2).for_each(|n| net.separate(n, 1)),
+        Fault::Separate => net.set_partition(node, 1),
+        Fault::Halve => (0..NODES / 2).for_each(|n| net.set_partition(n, 1)),
         Fault::Crash => net.loss = 60,
-        Fault::Doubling => net.doubling = 100,
+        Fault::Doubling => net.duplication = 100,
         Fault::SourceDown => net.set_source(Source::Down),
         Fault::SourceStale => net.set_source(Source::Stale),
         Fault::SourceSlow => net.set_source(Source::Slow(Duration::from_secs(1))),
-        Fault::CutSource => net.cut_source(node),
+        Fault::CutSource => net.block_source(node),
         Fault::BadVersion => {
             net.publish("profiles/bad", Some("{\"deadline_ms\": -1}"));
         }
@@ -78,10 +78,10 @@
 }
 
 fn heal(net: &mut Net) {
-    net.join();
-    net.heal_source();
+    net.heal_partitions();
+    net.unblock_sources();
     net.set_source(Source::Up);
-    (net.loss, net.doubling) = (0, 0);
+    (net.loss, net.duplication) = (0, 0);
     for node in 0..NODES {
         if net.control(node).is_none() {
             net.start(node);
@@ -102,12 +102,12 @@
     inflict(&mut net, fault, node);
     net.run(SPAN);
     heal(&mut net);
-    let newest = net.newest_good();
-    let healed = net.run_until_in_force(newest, BOUND);
+    let newest = net.newest_valid();
+    let healed = net.run_until_in_force(newest, CONVERGENCE_LIMIT);
     let place = format!("{fault:?} at step {step} of node {node}");
-    assert_eq!(net.broken, Vec::<String>::new(), "{place}");
+    assert_eq!(net.violations, Vec::<String>::new(), "{place}");
     assert!(healed.is_some(), "{place}: not everywhere in force");
-    assert!(net.peak <= READS_PER_SECOND, "{place}: {} reads", net.peak);
+    assert!(net.peak_reads <= READS_PER_SECOND, "{place}: {} reads", net.peak_reads);
 }
 
 /// Half of the tills follow the new prices and half the old ones all day: a node died, froze, was
--- a/crates/fleet/tests/operators.rs
+++ b/crates/fleet/tests/operators.rs
@@ -1,6 +1,6 @@
 //! Operators who race, hurry, publish much, or publish what is wrong.
 
-use standins::memory::{Net, Options};
+use standins::simulation::{Net, Options};
 use std::time::Duration;
 
 fn net() -> Net {
@@ -13,9 +13,9 @@
 /// Runs until the newest acceptable revision is in force; compares it and the time.
 #[track_caller]
 fn check(net: &mut Net, revision: u64, limit: Duration) {
-    assert_eq!(net.newest_good(), revision);
+    assert_eq!(net.newest_valid(), revision);
     assert!(net.run_until_in_force(revision, limit).is_some(), "not in force after {limit:?}");
-    assert_eq!(net.broken, Vec::<String>::new());
+    assert_eq!(net.violations, Vec::<String>::new());
 }
 
 #[test]
@@ -78,15 +78,15 @@
     let mut net = net();
     net.publish("profiles/extra", Some("{}"));
     net.run(Duration::from_secs(1));
-    net.separate(3, 1);
-    net.cut_source(3);
+    net.set_partition(3, 1);
+    net.block_source(3);
     net.run(Duration::from_secs(1));
     net.publish("profiles/extra", None);
     net.run(Duration::from_secs(1));
     net.publish("profiles/base", Some(r#"{"attempts": 1}"#));
     net.run(Duration::from_secs(1));
-    net.join();
-    net.heal_source();
+    net.heal_partitions();
+    net.unblock_sources();
     check(&mut net, 4, Duration::from_secs(45));
 }
 
@@ -101,13 +101,13 @@
         net.publish(key, Some("{}"));
     }
     net.run(Duration::from_secs(1));
-    net.separate(3, 1);
-    net.cut_source(3);
+    net.set_partition(3, 1);
+    net.block_source(3);
     net.run(Duration::from_secs(1));
     for key in &keys {
         net.publish(key, None);
         net.run(Duration::from_millis(50));
     }
-    net.join();
+    net.heal_partitions();
     check(&mut net, 601, Duration::from_secs(45));
 }
--- a/crates/fleet/tests/partitions.rs
+++ b/crates/fleet/tests/partitions.rs
@@ -1,8 +1,8 @@
 //! Long cuts: from the platform, of a data centre, between two halves.
 
 use standins::{
-    memory::{Net, Options, Source, address},
-    script::BOUND,
+    script::CONVERGENCE_LIMIT,
+    simulation::{Net, Options, Source, address},
 };
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
 fn check(net: &Net, expect: &[u64]) {
     let held: Vec<u64> = (0..net.len()).map(|node| net.version(node).revision).collect();
     assert_eq!(held, expect);
-    assert_eq!(net.broken, Vec::<String>::new());
+    assert_eq!(net.violations, Vec::<String>::new());
 }
 
 /// After a night in which the platform was out of reach, the morning's revision does not arrive:
@@ -34,7 +34,7 @@
     check(&net, &[1, 1, 1, 1]);
     net.set_source(Source::Up);
     net.publish("profiles/base", Some(r#"{"attempts": 2}"#));
-    net.run(BOUND);
+    net.run(CONVERGENCE_LIMIT);
     check(&net, &[2, 2, 2, 2]);
 }
 
@@ -55,14 +55,14 @@
 fn two_halves_meet_again() {
     let mut net = net(6);
     for node in 0..3 {
-        net.separate(node, 1);
-        net.cut_source(node);
+        net.set_partition(node, 1);
+        net.block_source(node);
     }
     net.run(Duration::from_secs(60));
     net.publish("profiles/base", Some(r#"{"attempts": 2}"#));
     net.run(HOUR);
     check(&net, &[1, 1, 1, 2, 2, 2]);
-    net.join();
+    net.heal_partitions();
     net.run(Duration::from_secs(10));
     check(&net, &[2, 2, 2, 2, 2, 2]);
     for node in 0..6 {
@@ -77,8 +77,8 @@
 fn readers_cut_off_from_the_platform_are_replaced() {
     let mut net = net(6);
     let readers: Vec<usize> = (0..6).filter(|&n| is_reader(&mut net, n)).collect();
-    readers.iter().for_each(|&node| net.cut_source(node));
-    net.separate_data_centre(0);
+    readers.iter().for_each(|&node| net.block_source(node));
+    net.partition_data_centre(0);
     net.run(Duration::from_secs(60));
     net.publish("profiles/base", Some(r#"{"attempts": 2}"#));
     net.run(Duration::from_secs(45));
--- a/crates/standins/src/caller.rs
+++ b/crates/standins/src/caller.rs
@@ -11,7 +11,7 @@
 use tokio::net::TcpStream;
 
 /// Header by which callers name a piece of work in an upstream's ledger.
-pub const WORK: &str = "x-work";
+pub const WORK_HEADER: &str = "x-work";
 
 /// A call to make.
 #[derive(Clone, Debug)]
@@ -138,7 +138,7 @@
         request = request.header("baobab-deadline-ms", ms);
     }
     if let Some(work) = &call.work {
-        request = request.header(WORK, work);
+        request = request.header(WORK_HEADER, work);
     }
     let request = request.body(Full::new(call.body.clone())).map_err(io::Error::other)?;
     let response = sender.send_request(request).await.map_err(io::Error::other)?;
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -5,9 +5,9 @@
 //! oracle of the tests.
 
 pub mod caller;
-pub mod memory;
 pub mod mesh;
 pub mod platform;
+pub mod queueing;
 pub mod script;
-pub mod served;
+pub mod simulation;
 pub mod upstream;
--- a/crates/standins/src/mesh.rs
+++ b/crates/standins/src/mesh.rs
@@ -1,6 +1,6 @@
 //! A whole mesh on loopback: one platform, upstreams, and a real node process beside each.
 
-use fleet::source::Instance;
+use fleet::source;
 use rustix::process::{Pid, Signal, kill_process};
 use socket2::{Domain, Socket, Type};
 use std::{
@@ -24,7 +24,7 @@
 const POLL: Duration = Duration::from_millis(5);
 
 /// Nodes per data centre that every node is told of in its settings.
-const CONTACTS: usize = 2;
+const SEEDS_PER_DATA_CENTRE: usize = 2;
 
 /// What a mesh consists of.
 #[derive(Clone, Debug)]
@@ -76,9 +76,9 @@
 }
 
 /// One instance: an upstream and the node beside it.
-pub struct Spot {
+pub struct Instance {
     /// The platform's name of it.
-    pub instance: String,
+    pub name: String,
     /// Where it runs.
     pub place: Place,
     /// Address for calls.
@@ -99,7 +99,7 @@
     /// The platform.
     pub platform: Platform,
     /// The instances.
-    pub spots: Vec<Spot>,
+    pub instances: Vec<Instance>,
     daemon: PathBuf,
     folder: TempDir,
     runtime: Runtime,
@@ -115,15 +115,15 @@
             .build()?;
         let platform = Platform::start()?;
         let folder = tempfile::tempdir()?;
-        let mut spots = Vec::new();
+        let mut instances = Vec::new();
         for (number, place) in settings.instances.iter().enumerate() {
             let upstream = Upstream::start(settings.upstream.clone(), runtime.handle())?;
             let reserved = [reserve()?, reserve()?, reserve()?];
             let [traffic, peers, operators] = [0, 1, 2].map(|i: usize| reserved[i].1);
-            let instance = format!("{}-{}-{number}", place.service, place.data_centre);
-            let path = folder.path().join(format!("{instance}.json"));
-            spots.push(Spot {
-                instance,
+            let name = format!("{}-{}-{number}", place.service, place.data_centre);
+            let path = folder.path().join(format!("{name}.json"));
+            instances.push(Instance {
+                name,
                 place: place.clone(),
                 traffic,
                 peers,
@@ -135,29 +135,29 @@
             });
         }
         let daemon = settings.daemon.clone();
-        let mesh = Mesh { platform, spots, daemon, folder, runtime };
+        let mesh = Mesh { platform, instances, daemon, folder, runtime };
         mesh.write_settings(settings)?;
-        mesh.platform.list(mesh.listing());
+        mesh.platform.set_instances(mesh.listing());
         Ok(mesh)
     }
 
     /// Starts everything.
     pub fn start(settings: &Settings) -> io::Result<Self> {
         let mut mesh = Mesh::prepare(settings)?;
-        for number in 0..mesh.spots.len() {
+        for number in 0..mesh.instances.len() {
             mesh.start_node(number)?;
         }
         Ok(mesh)
     }
 
     /// Returns the list of all instances as live.
-    pub fn listing(&self) -> Vec<Instance> {
-        let entry = |spot: &Spot| Instance {
-            instance: spot.instance.clone(),
-            address: spot.peers,
+    pub fn listing(&self) -> Vec<source::Instance> {
+        let entry = |instance: &Instance| source::Instance {
+            instance: instance.name.clone(),
+            address: instance.peers,
             leaving: false,
         };
-        self.spots.iter().map(entry).collect()
+        self.instances.iter().map(entry).collect()
     }
 
     /// Returns a handle of the runtime on which the stand-ins run.
@@ -172,26 +172,26 @@
 
     /// Starts the process of one node, which logs into the mesh's folder.
     pub fn start_node(&mut self, number: usize) -> io::Result<()> {
-        let spot = &mut self.spots[number];
-        let log = self.folder.path().join(format!("{}.log", spot.instance));
-        spot.process = Some(spawn(&self.daemon, &spot.settings, &log)?);
+        let instance = &mut self.instances[number];
+        let log = self.folder.path().join(format!("{}.log", instance.name));
+        instance.process = Some(spawn(&self.daemon, &instance.settings, &log)?);
         Ok(())
     }
 
     /// Kills the process of one node without warning.
     pub fn kill_node(&mut self, number: usize) -> io::Result<()> {
-        kill(&mut self.spots[number].process)
+        kill(&mut self.instances[number].process)
     }
 
     /// Sends a signal to the process of one node.
     pub fn signal_node(&self, number: usize, signal: Signal) -> io::Result<()> {
-        send_signal(self.spots[number].process.as_ref(), signal)
+        send_signal(self.instances[number].process.as_ref(), signal)
     }
 
     /// Asks one node to stop in an orderly way and returns its exit status.
     pub fn stop_node(&mut self, number: usize) -> io::Result<Option<i32>> {
         self.signal_node(number, Signal::TERM)?;
-        match self.spots[number].process.take() {
+        match self.instances[number].process.take() {
             Some(mut child) => Ok(child.wait()?.code()),
             None => Ok(None),
         }
@@ -199,12 +199,12 @@
 
     /// Returns the process number of one node, if it runs.
     pub fn pid(&self, number: usize) -> Option<u32> {
-        self.spots[number].process.as_ref().map(Child::id)
+        self.instances[number].process.as_ref().map(Child::id)
     }
 
     /// Returns the body of a page of one node's operators' server.
     pub fn page(&self, number: usize, path: &str) -> Option<String> {
-        page(self.spots[number].operators, path)
+        page(self.instances[number].operators, path)
     }
 
     /// Returns the revision in force at one node.
@@ -216,10 +216,10 @@
 
     /// Waits until `done`, and returns how long that took, or nothing after `limit`.
     pub fn wait(&self, limit: Duration, done: impl Fn(&Mesh) -> bool) -> Option<Duration> {
-        let begun = Instant::now();
-        while begun.elapsed() < limit {
+        let started = Instant::now();
+        while started.elapsed() < limit {
             if done(self) {
-                return Some(begun.elapsed());
+                return Some(started.elapsed());
             }
             thread::sleep(POLL);
         }
@@ -229,8 +229,8 @@
     /// Waits until `revision` is in force at every running node that answers or should.
     pub fn wait_in_force(&self, revision: u64, limit: Duration) -> Option<Duration> {
         self.wait(limit, |mesh| {
-            (0..mesh.spots.len())
-                .filter(|&i| mesh.spots[i].process.is_some())
+            (0..mesh.instances.len())
+                .filter(|&i| mesh.instances[i].process.is_some())
                 .all(|i| mesh.revision(i) >= Some(revision))
         })
     }
@@ -240,46 +240,46 @@
         let knows = |mesh: &Mesh, number: usize| {
             let text = mesh.page(number, "/status")?;
             let status: fleet::status::Node = serde_json::from_str(&text).ok()?;
-            let able =
+            let available =
                 status.members.iter().filter(|m| m.service == service && m.state.takes_work());
-            Some(able.count() == count)
+            Some(available.count() == count)
         };
         self.wait(limit, |mesh| {
-            (0..mesh.spots.len())
-                .filter(|&i| mesh.spots[i].process.is_some())
+            (0..mesh.instances.len())
+                .filter(|&i| mesh.instances[i].process.is_some())
                 .all(|i| knows(mesh, i) == Some(true))
         })
     }
 
     fn write_settings(&self, settings: &Settings) -> io::Result<()> {
-        let mut contacts = Vec::new();
-        for spot in &self.spots {
-            let same = |other: &&&Spot| other.place.data_centre == spot.place.data_centre;
-            let first = self.spots.iter().take_while(|s| s.peers != spot.peers);
-            if first.collect::<Vec<_>>().iter().filter(same).count() < CONTACTS {
-                contacts.push(spot.peers.to_string());
+        let mut seeds = Vec::new();
+        for instance in &self.instances {
+            let same = |other: &&&Instance| other.place.data_centre == instance.place.data_centre;
+            let first = self.instances.iter().take_while(|s| s.peers != instance.peers);
+            if first.collect::<Vec<_>>().iter().filter(same).count() < SEEDS_PER_DATA_CENTRE {
+                seeds.push(instance.peers.to_string());
             }
         }
-        for spot in &self.spots {
+        for instance in &self.instances {
             let text = serde_json::json!({
-                "instance": spot.instance,
-                "service": spot.place.service,
-                "data_centre": spot.place.data_centre,
+                "instance": instance.name,
+                "service": instance.place.service,
+                "data_centre": instance.place.data_centre,
                 "listen": {
-                    "traffic": spot.traffic.to_string(),
-                    "peers": spot.peers.to_string(),
-                    "operators": spot.operators.to_string(),
+                    "traffic": instance.traffic.to_string(),
+                    "peers": instance.peers.to_string(),
+                    "operators": instance.operators.to_string(),
                 },
                 "upstream": {
-                    "address": spot.upstream.address().to_string(),
+                    "address": instance.upstream.address().to_string(),
                     "slots": settings.upstream.slots,
                 },
                 "platform": self.platform.address().to_string(),
-                "contacts": contacts,
+                "contacts": seeds,
                 "traffic_threads": settings.traffic_threads,
                 "plan": settings.plan,
             });
-            fs::write(&spot.settings, text.to_string())?;
+            fs::write(&instance.settings, text.to_string())?;
         }
         Ok(())
     }
@@ -287,7 +287,7 @@
 
 impl Drop for Mesh {
     fn drop(&mut self) {
-        for number in 0..self.spots.len() {
+        for number in 0..self.instances.len() {
             // The process may have ended by itself.
             let _ = self.kill_node(number);
         }
--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -1,4 +1,4 @@
-//! A platform: documents under one rising revision, a lagging list of instances, a limit of reads.
+//! A platform: documents under one rising revision, a pending_listings list of instances, a limit of reads.
 
 use fleet::{
     directory::{Entry, Removal, Update},
@@ -63,10 +63,10 @@
     /// Revision at which the configuration was last written.
     config_revision: u64,
     listing: Listing,
-    shown: Listing,
+    visible: Listing,
     list_lag: Duration,
-    lagging: VecDeque<(Instant, Listing)>,
-    cut: HashSet<String>,
+    pending_listings: VecDeque<(Instant, Listing)>,
+    blocked: HashSet<String>,
     reads: VecDeque<Instant>,
     reads_total: u64,
     reads_peak: usize,
@@ -94,7 +94,7 @@
 enum Topic {
     Config,
     Instances,
-    News,
+    Changes,
 }
 
 impl Platform {
@@ -112,10 +112,10 @@
             revision: 1,
             config_revision: 0,
             listing: Listing::default(),
-            shown: Listing::default(),
+            visible: Listing::default(),
             list_lag: Duration::ZERO,
-            lagging: VecDeque::new(),
-            cut: HashSet::new(),
+            pending_listings: VecDeque::new(),
+            blocked: HashSet::new(),
             reads: VecDeque::new(),
             reads_total: 0,
             reads_peak: 0,
@@ -128,15 +128,15 @@
             let (platform, server) = (platform.clone(), server.clone());
             thread::spawn(move || {
                 for request in server.incoming_requests() {
-                    platform.take(request);
+                    platform.handle(request);
                 }
             });
         }
-        let waker = platform.clone();
+        let poller = platform.clone();
         thread::spawn(move || {
             loop {
                 thread::sleep(POLL);
-                waker.wake();
+                poller.answer_due();
             }
         });
         Ok(platform)
@@ -188,7 +188,7 @@
     }
 
     /// Has a data centre evacuated, or takes it back.
-    pub fn order(&self, data_centre: &str, evacuation: Evacuation) {
+    pub fn set_evacuation(&self, data_centre: &str, evacuation: Evacuation) {
         let mut state = self.lock();
         state.revision += 1;
         let order = Order {
@@ -208,7 +208,7 @@
         state.mode = mode;
     }
 
-    /// Serves revision `revision` as if it were the newest, as a lagging replica would.
+    /// Serves revision `revision` as if it were the newest, as a pending_listings replica would.
     pub fn set_stale_at(&self, revision: u64) {
         let mut state = self.lock();
         let old = state.history.iter().find(|s| s.version().revision == revision).cloned();
@@ -217,13 +217,13 @@
     }
 
     /// Lists exactly these instances, visible to readers after the lag of the list.
-    pub fn list(&self, instances: Vec<Instance>) {
+    pub fn set_instances(&self, instances: Vec<Instance>) {
         let mut state = self.lock();
         let revision = state.listing.revision + 1;
         state.listing = Listing { revision, instances };
-        let visible = Instant::now() + state.list_lag;
+        let visible_at = Instant::now() + state.list_lag;
         let listing = state.listing.clone();
-        state.lagging.push_back((visible, listing));
+        state.pending_listings.push_back((visible_at, listing));
     }
 
     /// Sets how long changes of the list stay invisible.
@@ -232,11 +232,11 @@
     }
 
     /// Cuts `reader` off, or lets it in again.
-    pub fn set_cut(&self, reader: &str, cut: Cut) {
+    pub fn set_access(&self, reader: &str, access: Access) {
         let mut state = self.lock();
-        match cut {
-            Cut::Off => state.cut.insert(reader.to_owned()),
-            Cut::Healed => state.cut.remove(reader),
+        match access {
+            Access::Blocked => state.blocked.insert(reader.to_owned()),
+            Access::Allowed => state.blocked.remove(reader),
         };
     }
 
@@ -255,7 +255,7 @@
         self.lock().refused
     }
 
-    fn take(&self, request: Request) {
+    fn handle(&self, request: Request) {
         let Some((query, wait)) = parse(request.url()) else {
             let _ = request.respond(Response::empty(404));
             return;
@@ -267,8 +267,8 @@
             .map(|h| h.value.to_string())
             .unwrap_or_default();
         let mut state = self.lock();
-        let admitted = state.count();
-        if state.mode == Mode::Down || state.cut.contains(&reader) {
+        let admitted = state.count_read();
+        if state.mode == Mode::Down || state.blocked.contains(&reader) {
             drop(state);
             let _ = request.respond(Response::empty(500));
             return;
@@ -283,7 +283,7 @@
             _ => Duration::ZERO,
         };
         let until = Instant::now() + wait.max(delay);
-        if delay.is_zero() && (wait.is_zero() || state.has_news(query)) {
+        if delay.is_zero() && (wait.is_zero() || state.has_changes(query)) {
             let answer = state.answer(query);
             drop(state);
             respond(request, answer);
@@ -293,18 +293,18 @@
     }
 
     /// Answers the watches that have news or whose time is over.
-    fn wake(&self) {
+    fn answer_due(&self) {
         let mut state = self.lock();
         let now = Instant::now();
-        while state.lagging.front().is_some_and(|(visible, _)| *visible <= now) {
-            let (_, listing) = state.lagging.pop_front().expect("the queue has a front");
-            state.shown = listing;
+        while state.pending_listings.front().is_some_and(|(visible_at, _)| *visible_at <= now) {
+            let (_, listing) = state.pending_listings.pop_front().expect("the queue has a front");
+            state.visible = listing;
         }
         let waiting = std::mem::take(&mut state.waiting);
         let slow = matches!(state.mode, Mode::Slow(_));
         let mut due = Vec::new();
         for watch in waiting {
-            if watch.until <= now || (!slow && state.has_news(watch.query)) {
+            if watch.until <= now || (!slow && state.has_changes(watch.query)) {
                 let answer =
                     if state.mode == Mode::Down { None } else { Some(state.answer(watch.query)) };
                 due.push((watch.request, answer));
@@ -337,22 +337,22 @@
 
 /// Whether a reader is cut off.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Cut {
+pub enum Access {
     /// Every call of it fails.
-    Off,
+    Blocked,
     /// It is served.
-    Healed,
+    Allowed,
 }
 
 /// What a call is answered with.
 enum Answer {
     Body(String),
-    Nothing(u64),
+    NoChange(u64),
 }
 
 impl State {
     /// Counts a read; returns whether it is within the limit.
-    fn count(&mut self) -> bool {
+    fn count_read(&mut self) -> bool {
         let now = Instant::now();
         while self.reads.front().is_some_and(|&at| now.duration_since(at) > Duration::from_secs(1))
         {
@@ -370,32 +370,32 @@
         if self.mode == Mode::Stale { &self.stale } else { &self.set }
     }
 
-    fn has_news(&self, query: Query) -> bool {
+    fn has_changes(&self, query: Query) -> bool {
         self.revision_of(query.topic) > query.after
     }
 
     fn revision_of(&self, topic: Topic) -> u64 {
         match topic {
             Topic::Config => self.served().version().revision,
-            Topic::Instances => self.shown.revision,
-            Topic::News => self.revision,
+            Topic::Instances => self.visible.revision,
+            Topic::Changes => self.revision,
         }
     }
 
     /// Returns what was written after `after`; all where that is 0.
-    fn bulletin(&self, after: u64) -> Changeset {
+    fn changeset(&self, after: u64) -> Changeset {
         let base = Some(after).filter(|&after| after > 0);
         let list = Update { revision: self.revision, base, ..Update::default() };
-        let mut news = Changeset { revision: self.revision, list, ..Changeset::default() };
+        let mut changes = Changeset { revision: self.revision, list, ..Changeset::default() };
         if self.config_revision > after {
-            news.config = Some(self.set.since(None));
+            changes.config = Some(self.set.since(None));
         }
         for (id, (revision, entry)) in &self.upstreams {
             match entry {
                 _ if *revision <= after => {}
-                Some(entry) => news.list.entries.push(entry.clone()),
+                Some(entry) => changes.list.entries.push(entry.clone()),
                 None if base.is_none() => {}
-                None => news.list.removed.push(Removal {
+                None => changes.list.removed.push(Removal {
                     id: id.clone(),
                     revision: *revision,
                     ..Removal::default()
@@ -404,18 +404,18 @@
         }
         let is_new =
             |order: &&Order| order.revision > after && (base.is_some() || !order.withdrawn);
-        news.list.orders = Some(self.orders.values().filter(is_new).cloned().collect());
-        news
+        changes.list.orders = Some(self.orders.values().filter(is_new).cloned().collect());
+        changes
     }
 
     fn answer(&self, query: Query) -> Answer {
-        if !self.has_news(query) {
-            return Answer::Nothing(self.revision_of(query.topic));
+        if !self.has_changes(query) {
+            return Answer::NoChange(self.revision_of(query.topic));
         }
         let text = match query.topic {
             Topic::Config => serde_json::to_string(&self.served().since(query.base)),
-            Topic::Instances => serde_json::to_string(&self.shown),
-            Topic::News => serde_json::to_string(&self.bulletin(query.after)),
+            Topic::Instances => serde_json::to_string(&self.visible),
+            Topic::Changes => serde_json::to_string(&self.changeset(query.after)),
         };
         Answer::Body(text.expect("the answer is made of plain data"))
     }
@@ -425,7 +425,7 @@
     // The reader may have gone away.
     let _ = match answer {
         Answer::Body(text) => request.respond(Response::from_string(text)),
-        Answer::Nothing(revision) => {
+        Answer::NoChange(revision) => {
             let header = Header::from_bytes("platform-revision", revision.to_string());
             let header = header.expect("the header is made of constants and a number");
             request.respond(Response::empty(204).with_header(header))
@@ -442,7 +442,7 @@
     let topic = match path {
         "/v1/config" => Topic::Config,
         "/v1/instances" => Topic::Instances,
-        "/v1/news" => Topic::News,
+        "/v1/news" => Topic::Changes,
         _ => return None,
     };
     let query = Query { topic, base: number("base"), after: number("after").unwrap_or(0) };
--- a/crates/standins/src/served.rs
+++ b/crates/standins/src/queueing.rs
@@ -9,25 +9,26 @@
 
 mod callers;
 mod choice;
-mod parts;
 mod report;
 mod settings;
-mod world;
+mod simulation;
+mod state;
 
 pub use self::{
-    report::{Report, Tally},
+    report::{Counters, Report},
     settings::{
-        Burst, Calls, Choice, Fault, Mechanism, Order, Route, Service, Settings, Trouble, Way,
+        Burst, Choice, Degradation, Discipline, Fault, Mechanism, Nested, Route, Service, Settings,
+        Strategy,
     },
 };
 
 /// Plays one day.
 ///
 /// ```
-/// use standins::served::{Settings, play};
-/// let report = play(&Settings { span: std::time::Duration::from_secs(2), ..Settings::default() }, 1);
-/// assert_eq!(report.total().asked, report.total().ended());
+/// use standins::queueing::{Settings, simulate};
+/// let report = simulate(&Settings { span: std::time::Duration::from_secs(2), ..Settings::default() }, 1);
+/// assert_eq!(report.total().callers, report.total().ended());
 /// ```
-pub fn play(settings: &Settings, seed: u64) -> Report {
-    world::World::new(settings, seed).run()
+pub fn simulate(settings: &Settings, seed: u64) -> Report {
+    simulation::Simulation::new(settings, seed).run()
 }
--- a/crates/standins/src/served/choice.rs
+++ b/crates/standins/src/queueing/choice.rs
@@ -11,37 +11,36 @@
 use super::settings::Choice;
 
 /// An upstream as an entry node sees it.
-pub(super) struct Seen<'a> {
+pub(super) struct Target<'a> {
     pub(super) record: &'a Record,
     pub(super) slots: usize,
     pub(super) locality: Locality,
     pub(super) tried: bool,
 }
 
-/// Returns the index of the upstream that gets the call number `turn`, if one is untried.
+/// Returns the index of the upstream that gets the call number `call_number`, if one is untried.
 pub(super) fn choose(
     choice: Choice,
-    seen: &[Seen<'_>],
+    targets: &[Target<'_>],
     kind: Kind,
-    turn: usize,
+    call_number: usize,
     now: Time,
     random: &mut SmallRng,
 ) -> Option<usize> {
-    let untried = || (0..seen.len()).filter(|&i| !seen[i].tried);
+    let untried = || (0..targets.len()).filter(|&i| !targets[i].tried);
     match choice {
-        Choice::Room => {
-            let candidates: Vec<Candidate<'_>> = seen.iter().map(candidate).collect();
+        Choice::Capacity => {
+            let candidates: Vec<Candidate<'_>> = targets.iter().map(candidate).collect();
             placement::choose(&candidates, kind, now, random)
         }
-        Choice::InTurn => {
-            untried().min_by_key(|&i| (i + seen.len() - turn % seen.len()) % seen.len())
-        }
-        Choice::LeastInFlight => untried().min_by_key(|&i| (seen[i].record.in_flight(), i)),
+        Choice::RoundRobin => untried()
+            .min_by_key(|&i| (i + targets.len() - call_number % targets.len()) % targets.len()),
+        Choice::LeastInFlight => untried().min_by_key(|&i| (targets[i].record.in_flight(), i)),
     }
 }
 
-fn candidate<'a>(seen: &Seen<'a>) -> Candidate<'a> {
-    let Seen { record, slots, locality, tried } = *seen;
+fn candidate<'a>(target: &Target<'a>) -> Candidate<'a> {
+    let Target { record, slots, locality, tried } = *target;
     Candidate {
         record,
         slots,
--- a/crates/standins/src/served/report.rs
+++ b/crates/standins/src/queueing/report.rs
@@ -4,9 +4,9 @@
 
 /// What became of the callers of one route, or of all.
 #[derive(Clone, Debug, Default)]
-pub struct Tally {
+pub struct Counters {
     /// Callers.
-    pub asked: u64,
+    pub callers: u64,
     /// Answered within the objective.
     pub in_time: u64,
     /// Answered later.
@@ -19,43 +19,43 @@
     pub refused_again: u64,
     /// Refusals told later than an eighth of the objective.
     pub late_refusals: u64,
-    /// What all answers in time would be worth.
-    pub owed: f64,
-    /// What the answers are worth.
-    pub earned: f64,
+    /// What all answers in time would be utility.
+    pub max_utility: f64,
+    /// What the answers are utility.
+    pub utility: f64,
     /// Times from the first attempt to the answer.
     pub times: Vec<Duration>,
 }
 
-impl Tally {
+impl Counters {
     /// Returns the callers whose end was noted.
     pub fn ended(&self) -> u64 {
         self.in_time + self.late + self.refused + self.failed
     }
 
-    /// Returns the share of what all answers in time would be worth; 1 where nothing is owed.
-    pub fn share(&self) -> f64 {
-        if self.owed > 0.0 { self.earned / self.owed } else { 1.0 }
+    /// Returns the share of what all answers in time would be utility; 1 where nothing is max_utility.
+    pub fn utility_share(&self) -> f64 {
+        if self.max_utility > 0.0 { self.utility / self.max_utility } else { 1.0 }
     }
 
     /// Returns the time within which the share `part` of the answers came; none without answers.
-    pub fn quantile(&self, part: f64) -> Option<Duration> {
+    pub fn quantile(&self, share: f64) -> Option<Duration> {
         let mut times = self.times.clone();
         times.sort_unstable();
-        let index = (times.len() as f64 * part) as usize;
+        let index = (times.len() as f64 * share) as usize;
         times.get(index.min(times.len().saturating_sub(1))).copied()
     }
 
-    fn add(&mut self, other: &Tally) {
-        self.asked += other.asked;
+    fn add(&mut self, other: &Counters) {
+        self.callers += other.callers;
         self.in_time += other.in_time;
         self.late += other.late;
         self.refused += other.refused;
         self.failed += other.failed;
         self.refused_again += other.refused_again;
         self.late_refusals += other.late_refusals;
-        self.owed += other.owed;
-        self.earned += other.earned;
+        self.max_utility += other.max_utility;
+        self.utility += other.utility;
         self.times.extend(&other.times);
     }
 }
@@ -64,24 +64,24 @@
 #[derive(Clone, Debug, Default)]
 pub struct Report {
     /// By route, callers' calls only.
-    pub routes: Vec<Tally>,
+    pub routes: Vec<Counters>,
     /// Arrivals at upstreams, calls of upstreams included.
     pub arrivals: u64,
     /// Arrivals that were not the first of their call.
-    pub repeats: u64,
+    pub retries: u64,
 }
 
 impl Report {
     /// Returns the sum over all routes.
-    pub fn total(&self) -> Tally {
-        let mut total = Tally::default();
-        self.routes.iter().for_each(|tally| total.add(tally));
+    pub fn total(&self) -> Counters {
+        let mut total = Counters::default();
+        self.routes.iter().for_each(|counters| total.add(counters));
         total
     }
 
-    /// Returns the lowest share among routes that anything is owed for.
-    pub fn worst_share(&self) -> f64 {
-        let owed = self.routes.iter().filter(|tally| tally.owed > 0.0);
-        owed.map(Tally::share).fold(1.0, f64::min)
+    /// Returns the lowest share among routes that anything is max_utility for.
+    pub fn min_utility_share(&self) -> f64 {
+        let rated = self.routes.iter().filter(|counters| counters.max_utility > 0.0);
+        rated.map(Counters::utility_share).fold(1.0, f64::min)
     }
 }
--- a/crates/standins/src/served/settings.rs
+++ b/crates/standins/src/queueing/settings.rs
@@ -13,9 +13,9 @@
     /// Routes.
     pub routes: Vec<Route>,
     /// Time from one instance to another of the same data centre.
-    pub near: Duration,
+    pub local_delay: Duration,
     /// The same to another data centre.
-    pub far: Duration,
+    pub remote_delay: Duration,
     /// Time in which callers begin.
     pub span: Duration,
     /// Times at which more callers come.
@@ -25,7 +25,7 @@
     /// Bound on repeats.
     pub budget: budget::Settings,
     /// How nodes decide.
-    pub way: Way,
+    pub strategy: Strategy,
 }
 
 impl Default for Settings {
@@ -33,66 +33,66 @@
     /// the first users run them on a busy day.
     fn default() -> Self {
         let ms = Duration::from_millis;
-        let service = Service { upstreams: 4, slots: 11, speeds: vec![0.7, 1.0, 1.3] };
+        let service = Service { upstreams: 4, slots: 11, slowness: vec![0.7, 1.0, 1.3] };
         let lookup = Route {
             service: 0,
             per_second: 520.0,
-            work: ms(60),
+            service_time: ms(60),
             spread: 0.5,
             objective: ms(200),
             deadline: ms(1_200),
             priority: 2,
             kind: Kind::Idempotent,
             attempts: 3,
-            worth: 1.0,
-            calls: Some(Calls { route: 2, times: 1, share: 0.7 }),
+            utility: 1.0,
+            nested: Some(Nested { route: 2, count: 1, probability: 0.7 }),
         };
         let payment = Route {
             service: 1,
             per_second: 300.0,
-            work: ms(78),
+            service_time: ms(78),
             objective: ms(250),
             deadline: ms(1_500),
             priority: 1,
             kind: Kind::Once,
-            worth: 2.0,
-            calls: None,
+            utility: 2.0,
+            nested: None,
             ..lookup.clone()
         };
         let check = Route {
             service: 1,
             per_second: 0.0,
-            work: ms(15),
+            service_time: ms(15),
             objective: ms(60),
             deadline: ms(200),
             attempts: 1,
-            worth: 0.0,
-            calls: None,
+            utility: 0.0,
+            nested: None,
             ..lookup.clone()
         };
         let count = Route {
             service: 2,
             per_second: 210.0,
-            work: ms(24),
+            service_time: ms(24),
             spread: 0.8,
             objective: ms(100),
             deadline: ms(600),
             priority: 1,
-            worth: 2.0,
-            calls: None,
+            utility: 2.0,
+            nested: None,
             ..lookup.clone()
         };
         Settings {
             data_centres: 3,
             services: vec![service.clone(), service.clone(), service],
             routes: vec![lookup, payment, check, count],
-            near: Duration::from_micros(600),
-            far: ms(2),
+            local_delay: Duration::from_micros(600),
+            remote_delay: ms(2),
             span: Duration::from_secs(20),
             bursts: Vec::new(),
             faults: Vec::new(),
             budget: budget::Settings::default(),
-            way: Way::default(),
+            strategy: Strategy::default(),
         }
     }
 }
@@ -105,7 +105,7 @@
     /// Slots of each.
     pub slots: usize,
     /// How many times longer than the mean an upstream works; dealt in turn.
-    pub speeds: Vec<f64>,
+    pub slowness: Vec<f64>,
 }
 
 /// Calls of one kind.
@@ -116,7 +116,7 @@
     /// Callers a second, over all instances.
     pub per_second: f64,
     /// Mean time of work.
-    pub work: Duration,
+    pub service_time: Duration,
     /// Spread of the log-normal time of work.
     pub spread: f64,
     /// Time from the first attempt within which an answer is in time.
@@ -129,21 +129,21 @@
     pub kind: Kind,
     /// Attempts of one caller.
     pub attempts: u32,
-    /// What an answer in time is worth; a late one is worth three tenths of that.
-    pub worth: f64,
+    /// What an answer in time is utility; a late one is utility three tenths of that.
+    pub utility: f64,
     /// Calls that its upstream makes while it works.
-    pub calls: Option<Calls>,
+    pub nested: Option<Nested>,
 }
 
 /// Calls that an upstream makes.
 #[derive(Clone, Copy, Debug)]
-pub struct Calls {
+pub struct Nested {
     /// Index of their route.
     pub route: usize,
     /// How many at the same time.
-    pub times: u32,
+    pub count: u32,
     /// Share of the runs that make them.
-    pub share: f64,
+    pub probability: f64,
 }
 
 /// A time in which more callers come.
@@ -157,7 +157,7 @@
     pub factor: f64,
 }
 
-/// A trouble of some upstreams of a service.
+/// A degradation of some upstreams of a service.
 #[derive(Clone, Copy, Debug)]
 pub struct Fault {
     /// When it begins, from the start.
@@ -169,28 +169,28 @@
     /// Upstreams that it strikes, the first ones of the service.
     pub upstreams: usize,
     /// What happens to them.
-    pub trouble: Trouble,
+    pub degradation: Degradation,
 }
 
 /// What happens to an upstream.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Trouble {
+pub enum Degradation {
     /// It works so many times as long.
     Slow(f64),
     /// It fails this share of its calls.
     Failing(f64),
     /// It runs calls and loses this share of the answers.
-    Silent(f64),
+    LostAnswers(f64),
 }
 
 /// How nodes decide.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Way {
+pub struct Strategy {
     /// Which upstream gets a call.
     pub choice: Choice,
     /// Who waits for a slot, and how long.
-    pub order: Order,
-    /// A mechanism that is switched off, to see what it is worth.
+    pub discipline: Discipline,
+    /// A mechanism that is switched off, to see what it is utility.
     pub without: Option<Mechanism>,
 }
 
@@ -198,44 +198,44 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Mechanism {
     /// Upstreams that fail are seen as failing, and ejected after failures in a row.
-    Failures,
+    FailureTracking,
     /// Calls of upstreams go before callers' for half of the slots.
-    Half,
+    NestedFirst,
     /// Serving nodes tell how many calls they hold.
-    Load,
-    /// Further upstreams are asked after a refusal.
-    Offers,
+    LoadReports,
+    /// Further upstreams are callers after a refusal.
+    RefusalRetries,
     /// More urgent calls go first.
     Priority,
     /// A second attempt is made beside a silent one.
-    Second,
+    Hedging,
     /// Calls wait for a slot for a short time only.
-    ShortWaits,
+    BoundedWaits,
     /// Upstreams that take longer than others get less.
     Slowness,
     /// Callers that come back go before new ones.
-    Returning,
+    ClientRetries,
 }
 
 impl Mechanism {
     /// Every mechanism, with the name that the command line takes.
     pub const ALL: [(&str, Mechanism); 9] = [
-        ("failures", Mechanism::Failures),
-        ("half", Mechanism::Half),
-        ("load", Mechanism::Load),
-        ("offers", Mechanism::Offers),
+        ("failures", Mechanism::FailureTracking),
+        ("half", Mechanism::NestedFirst),
+        ("load", Mechanism::LoadReports),
+        ("offers", Mechanism::RefusalRetries),
         ("priority", Mechanism::Priority),
-        ("second", Mechanism::Second),
-        ("short-waits", Mechanism::ShortWaits),
+        ("second", Mechanism::Hedging),
+        ("short-waits", Mechanism::BoundedWaits),
         ("slowness", Mechanism::Slowness),
-        ("returning", Mechanism::Returning),
+        ("returning", Mechanism::ClientRetries),
     ];
 
     /// Finds a mechanism by its name.
     ///
     /// ```
     /// use standins::served::Mechanism;
-    /// assert_eq!(Mechanism::parse("half"), Some(Mechanism::Half));
+    /// assert_eq!(Mechanism::parse("half"), Some(Mechanism::NestedFirst));
     /// assert_eq!(Mechanism::parse("magic"), None);
     /// ```
     pub fn parse(name: &str) -> Option<Mechanism> {
@@ -248,19 +248,19 @@
 pub enum Choice {
     /// The one with most room, as the product decides.
     #[default]
-    Room,
+    Capacity,
     /// Each in turn.
-    InTurn,
+    RoundRobin,
     /// The one with fewest calls of this node in flight.
     LeastInFlight,
 }
 
 /// Who waits for a slot, and how long.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Order {
+pub enum Discipline {
     /// By rank, and for a short time, as the product decides.
     #[default]
     Ranked,
     /// By arrival, until the deadline.
-    Arrival,
+    Fifo,
 }
--- a/crates/standins/src/served/world.rs
+++ b/crates/standins/src/queueing/simulation.rs
@@ -1,6 +1,6 @@
 //! The state of a day and the one way in which it changes.
 //!
-//! Invariant: everything that happens is a [`Due`] taken off the agenda by [`World::apply`].
+//! Invariant: everything that happens is a [`Event`] taken off the queue by [`Simulation::apply`].
 
 use model::time::Time;
 use policy::{
@@ -18,55 +18,55 @@
 use std::{cmp::Reverse, collections::BinaryHeap, time::Duration};
 
 use super::{
-    choice::{self, Seen},
-    parts::{Call, CallKey, EntryNode, Offer, OfferKey, State, Upstream, Word, upstreams},
+    choice::{self, Target},
     report::Report,
-    settings::{Mechanism, Order, Route, Settings, Trouble},
+    settings::{Degradation, Discipline, Mechanism, Route, Settings},
+    state::{Call, CallKey, EntryNode, Offer, OfferKey, Reply, State, Upstream, upstreams},
 };
 
 /// Most upstreams that a call is offered to, as at the product's entry nodes.
-const OFFERS_MOST: usize = 4;
+const MAX_OFFERS: usize = 4;
 
 /// Most upstreams that a call may have reached.
-const ARRIVALS_MOST: u32 = 3;
+const MAX_REACHED: u32 = 3;
 
 /// Most calls that wait for a slot of one upstream.
-const QUEUE_LIMIT: usize = 64;
+const MAX_QUEUE: usize = 64;
 
 /// Time from an entry node to the upstream beside it.
-const BESIDE: Duration = Duration::from_micros(50);
+const COLOCATED_DELAY: Duration = Duration::from_micros(50);
 
 /// Part of its work that an upstream does before a call fails.
-const FAILED_WORK: f64 = 0.3;
+const FAILED_WORK_SHARE: f64 = 0.3;
 
 /// Something that is due.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub(super) enum Due {
+pub(super) enum Event {
     /// A new caller of a route.
-    Begin(usize),
+    NewCaller(usize),
     /// A caller's attempt is at its entry node.
-    Ask(CallKey),
+    Receive(CallKey),
     /// An offer is at the serving node.
     Arrive(OfferKey),
     /// An offer has waited long enough.
     Expire(OfferKey),
     /// An upstream's own work on an offer is done.
-    Worked(OfferKey),
-    /// The serving node's word is at the entry node.
-    Hear(OfferKey, Word),
+    ServiceDone(OfferKey),
+    /// The serving node's reply is at the entry node.
+    Reply(OfferKey, Reply),
     /// An offer has been silent for long.
-    Double(OfferKey),
+    Hedge(OfferKey),
     /// A call's time is over.
     Deadline(CallKey),
 }
 
 /// All state of a day.
-pub(super) struct World<'a> {
+pub(super) struct Simulation<'a> {
     pub(super) settings: &'a Settings,
     pub(super) random: SmallRng,
     pub(super) now: Time,
-    pub(super) agenda: BinaryHeap<Reverse<(Time, u64, Due)>>,
-    pub(super) number: u64,
+    pub(super) queue: BinaryHeap<Reverse<(Time, u64, Event)>>,
+    pub(super) sequence: u64,
     pub(super) upstreams: Vec<Upstream>,
     pub(super) entries: Vec<EntryNode>,
     pub(super) calls: Vec<Call>,
@@ -74,26 +74,26 @@
     pub(super) report: Report,
 }
 
-impl<'a> World<'a> {
+impl<'a> Simulation<'a> {
     pub(super) fn new(settings: &'a Settings, seed: u64) -> Self {
         let upstreams = upstreams(settings);
         let node = || EntryNode {
             records: upstreams.iter().map(|_| Record::new(Time::default())).collect(),
             latencies: vec![None; settings.routes.len()],
             windows: vec![Window::default(); settings.services.len()],
-            turn: 0,
+            calls: 0,
         };
         let entries = upstreams.iter().map(|_| node()).collect();
         let report = Report {
             routes: settings.routes.iter().map(|_| Default::default()).collect(),
             ..Report::default()
         };
-        World {
+        Simulation {
             settings,
             random: SmallRng::seed_from_u64(seed),
             now: Time::default(),
-            agenda: BinaryHeap::new(),
-            number: 0,
+            queue: BinaryHeap::new(),
+            sequence: 0,
             upstreams,
             entries,
             calls: Vec::new(),
@@ -106,47 +106,47 @@
     pub(super) fn run(mut self) -> Report {
         for route in 0..self.settings.routes.len() {
             if self.settings.routes[route].per_second > 0.0 {
-                self.put(Duration::ZERO, Due::Begin(route));
+                self.schedule(Duration::ZERO, Event::NewCaller(route));
             }
         }
-        while let Some(Reverse((at, _, due))) = self.agenda.pop() {
+        while let Some(Reverse((at, _, event))) = self.queue.pop() {
             self.now = at;
-            self.apply(due);
+            self.apply(event);
         }
         self.report
     }
 
-    fn apply(&mut self, due: Due) {
-        match due {
-            Due::Begin(route) => self.begin(route),
-            Due::Ask(call) => self.ask(call),
-            Due::Arrive(offer) => self.arrive(offer),
-            Due::Expire(offer) => self.expire(offer),
-            Due::Worked(offer) => self.worked(offer),
-            Due::Hear(offer, word) => self.hear(offer, word),
-            Due::Double(offer) => self.double(offer),
-            Due::Deadline(call) => self.end(call, Word::Failed),
+    fn apply(&mut self, event: Event) {
+        match event {
+            Event::NewCaller(route) => self.start_caller(route),
+            Event::Receive(call) => self.receive(call),
+            Event::Arrive(offer) => self.arrive(offer),
+            Event::Expire(offer) => self.expire(offer),
+            Event::ServiceDone(offer) => self.finish_service(offer),
+            Event::Reply(offer, reply) => self.receive_reply(offer, reply),
+            Event::Hedge(offer) => self.hedge(offer),
+            Event::Deadline(call) => self.end(call, Reply::Failed),
         }
     }
 
     /// Tells whether a part of the product's way of deciding is switched off.
-    pub(super) fn lacks(&self, mechanism: Mechanism) -> bool {
-        self.settings.way.without == Some(mechanism)
+    pub(super) fn is_disabled(&self, mechanism: Mechanism) -> bool {
+        self.settings.strategy.without == Some(mechanism)
     }
 
-    pub(super) fn put(&mut self, after: Duration, due: Due) {
-        self.number += 1;
-        self.agenda.push(Reverse((self.now + after, self.number, due)));
+    pub(super) fn schedule(&mut self, after: Duration, event: Event) {
+        self.sequence += 1;
+        self.queue.push(Reverse((self.now + after, self.sequence, event)));
     }
 
     pub(super) fn route(&self, call: CallKey) -> &'a Route {
         &self.settings.routes[self.calls[call.0].route]
     }
 
-    fn ask(&mut self, key: CallKey) {
+    fn receive(&mut self, key: CallKey) {
         let (now, route) = (self.now, self.route(key));
         let origin = self.origin(key);
-        let is_known = !self.lacks(Mechanism::Returning);
+        let is_known = !self.is_disabled(Mechanism::ClientRetries);
         let call = &mut self.calls[key.0];
         call.received = now;
         let deadline = call.deadline;
@@ -154,7 +154,7 @@
         node.windows[route.service].record_call(&self.settings.budget, now);
         let expected =
             node.latencies[call.route].map_or(route.objective / 2, |latency| latency.mean());
-        let clock = Timing {
+        let timing = Timing {
             received: now,
             deadline,
             attempt: if call.attempt > 1 && is_known { Attempt::Retry } else { Attempt::First },
@@ -162,13 +162,14 @@
             objective: route.objective,
             expected,
         };
-        call.rank = match self.settings.way.order {
-            Order::Ranked => {
-                adjust(self.settings.way.without, urgency::rank(origin, route.priority, clock))
-            }
-            Order::Arrival => Rank::default(),
+        call.rank = match self.settings.strategy.discipline {
+            Discipline::Ranked => adjust(
+                self.settings.strategy.without,
+                urgency::rank(origin, route.priority, timing),
+            ),
+            Discipline::Fifo => Rank::default(),
         };
-        self.put(deadline.since(now), Due::Deadline(key));
+        self.schedule(deadline.since(now), Event::Deadline(key));
         self.offer(key);
     }
 
@@ -183,7 +184,7 @@
     fn offer(&mut self, key: CallKey) {
         match self.choose(key) {
             Some(upstream) => self.send(key, upstream),
-            None => self.end(key, Word::Refused),
+            None => self.end(key, Reply::Refused),
         }
     }
 
@@ -195,10 +196,10 @@
             .filter(|&u| self.upstreams[u].service == route.service)
             .collect();
         let node = &mut self.entries[call.entry];
-        node.turn += 1;
-        let seen: Vec<Seen<'_>> = of_service
+        node.calls += 1;
+        let targets: Vec<Target<'_>> = of_service
             .iter()
-            .map(|&u| Seen {
+            .map(|&u| Target {
                 record: &node.records[u],
                 slots: self.settings.services[route.service].slots,
                 locality: match &self.upstreams[u] {
@@ -209,8 +210,8 @@
                 tried: call.offers.iter().any(|o| self.offers[o.0].upstream == u),
             })
             .collect();
-        let choice = self.settings.way.choice;
-        choice::choose(choice, &seen, route.kind, node.turn, self.now, &mut self.random)
+        let choice = self.settings.strategy.choice;
+        choice::choose(choice, &targets, route.kind, node.calls, self.now, &mut self.random)
             .map(|index| of_service[index])
     }
 
@@ -223,34 +224,34 @@
             begun: self.now,
             pending: 0,
             answered: 0,
-            broken: false,
+            failed: false,
             state: State::Sent,
-            heard: false,
+            replied: false,
             load: Load::default(),
         });
         let call = &mut self.calls[key.0];
         call.offers.push(offer);
-        call.open += 1;
+        call.pending += 1;
         let entry = call.entry;
         self.entries[entry].records[upstream].begin();
-        self.put(self.distance(entry, upstream), Due::Arrive(offer));
-        if let Some(delay) = self.second_delay(key, upstream) {
-            self.put(delay, Due::Double(offer));
+        self.schedule(self.network_delay(entry, upstream), Event::Arrive(offer));
+        if let Some(delay) = self.hedge_delay(key, upstream) {
+            self.schedule(delay, Event::Hedge(offer));
         }
     }
 
-    fn distance(&self, entry: usize, upstream: usize) -> Duration {
+    fn network_delay(&self, entry: usize, upstream: usize) -> Duration {
         let (a, b) = (&self.upstreams[entry], &self.upstreams[upstream]);
         match () {
-            () if entry == upstream => BESIDE,
-            () if a.data_centre == b.data_centre => self.settings.near,
-            () => self.settings.far,
+            () if entry == upstream => COLOCATED_DELAY,
+            () if a.data_centre == b.data_centre => self.settings.local_delay,
+            () => self.settings.remote_delay,
         }
     }
 
-    fn second_delay(&self, key: CallKey, upstream: usize) -> Option<Duration> {
+    fn hedge_delay(&self, key: CallKey, upstream: usize) -> Option<Duration> {
         let (call, route) = (&self.calls[key.0], self.route(key));
-        let never = route.kind == Kind::Once || self.lacks(Mechanism::Second);
+        let never = route.kind == Kind::Once || self.is_disabled(Mechanism::Hedging);
         if never || call.offers.len() > 1 {
             return None;
         }
@@ -269,17 +270,17 @@
     fn arrive(&mut self, key: OfferKey) {
         let offer = &self.offers[key.0];
         let call = &self.calls[offer.call.0];
-        if call.ended || offer.state == State::Over {
+        if call.ended || offer.state == State::Ended {
             return;
         }
         let (rank, deadline) = (call.rank, call.deadline);
-        let gate = &mut self.upstreams[offer.upstream].gate;
-        match gate.admit_ranked(Ticket(key.0 as u64), rank, self.now, deadline, QUEUE_LIMIT) {
+        let limiter = &mut self.upstreams[offer.upstream].limiter;
+        match limiter.admit_ranked(Ticket(key.0 as u64), rank, self.now, deadline, MAX_QUEUE) {
             Decision::Run => self.start(key),
-            Decision::Refuse(_) => self.tell(key, Word::Refused),
+            Decision::Refuse(_) => self.reply(key, Reply::Refused),
             Decision::Wait(until) => {
                 self.offers[key.0].state = State::Waiting;
-                self.put(until.since(self.now), Due::Expire(key));
+                self.schedule(until.since(self.now), Event::Expire(key));
             }
         }
     }
@@ -289,23 +290,23 @@
             return;
         }
         let upstream = self.offers[key.0].upstream;
-        self.upstreams[upstream].gate.cancel(Ticket(key.0 as u64));
-        self.tell(key, Word::Refused);
+        self.upstreams[upstream].limiter.cancel(Ticket(key.0 as u64));
+        self.reply(key, Reply::Refused);
     }
 
     fn start(&mut self, key: OfferKey) {
         let (call, upstream) = (self.offers[key.0].call, self.offers[key.0].upstream);
         let route = self.route(call);
         self.report.arrivals += 1;
-        self.report.repeats += u64::from(self.calls[call.0].arrivals > 0);
-        self.calls[call.0].arrivals += 1;
-        let mut work = self.draw(route).mul_f64(self.upstreams[upstream].speed);
-        let mut broken = false;
-        match self.trouble(upstream) {
-            Some(Trouble::Slow(factor)) => work = work.mul_f64(factor),
-            Some(Trouble::Failing(share)) if self.random.random_bool(share) => {
-                broken = true;
-                work = work.mul_f64(FAILED_WORK);
+        self.report.retries += u64::from(self.calls[call.0].reached > 0);
+        self.calls[call.0].reached += 1;
+        let mut work = self.sample_service_time(route).mul_f64(self.upstreams[upstream].slowness);
+        let mut failed = false;
+        match self.degradation(upstream) {
+            Some(Degradation::Slow(factor)) => work = work.mul_f64(factor),
+            Some(Degradation::Failing(share)) if self.random.random_bool(share) => {
+                failed = true;
+                work = work.mul_f64(FAILED_WORK_SHARE);
             }
             _ => {}
         }
@@ -313,38 +314,40 @@
         let offer = &mut self.offers[key.0];
         offer.state = State::Running;
         offer.begun = self.now;
-        offer.broken = broken;
+        offer.failed = failed;
         offer.pending = 1;
-        self.put(work.min(deadline.since(self.now)), Due::Worked(key));
-        let Some(calls) = route.calls else { return };
-        if self.random.random_bool(calls.share) {
-            self.offers[key.0].pending += calls.times;
-            let limit = self.now + self.settings.routes[calls.route].deadline;
-            for _ in 0..calls.times {
-                self.open_call(calls.route, upstream, Some(key), limit.min(deadline));
+        self.schedule(work.min(deadline.since(self.now)), Event::ServiceDone(key));
+        let Some(nested) = route.nested else { return };
+        if self.random.random_bool(nested.probability) {
+            self.offers[key.0].pending += nested.count;
+            let limit = self.now + self.settings.routes[nested.route].deadline;
+            for _ in 0..nested.count {
+                self.open_call(nested.route, upstream, Some(key), limit.min(deadline));
             }
         }
     }
 
-    fn draw(&mut self, route: &Route) -> Duration {
+    fn sample_service_time(&mut self, route: &Route) -> Duration {
         let radius = (-2.0 * self.random.random_range(f64::MIN_POSITIVE..1.0_f64).ln()).sqrt();
         let angle = std::f64::consts::TAU * self.random.random_range(0.0..1.0_f64);
         let normal = radius * angle.cos();
-        route.work.mul_f64((route.spread * normal - route.spread * route.spread / 2.0).exp())
+        route
+            .service_time
+            .mul_f64((route.spread * normal - route.spread * route.spread / 2.0).exp())
     }
 
-    fn trouble(&self, upstream: usize) -> Option<Trouble> {
+    fn degradation(&self, upstream: usize) -> Option<Degradation> {
         let elapsed = self.now.since(Time::default());
-        let Upstream { service, place, .. } = self.upstreams[upstream];
+        let Upstream { service, position, .. } = self.upstreams[upstream];
         let mut faults = self.settings.faults.iter();
-        let strikes = faults.find(|fault| {
+        let fault = faults.find(|fault| {
             let is_now = fault.begin <= elapsed && elapsed < fault.end;
-            is_now && fault.service == service && place < fault.upstreams
+            is_now && fault.service == service && position < fault.upstreams
         });
-        strikes.map(|fault| fault.trouble)
+        fault.map(|fault| fault.degradation)
     }
 
-    fn worked(&mut self, key: OfferKey) {
+    fn finish_service(&mut self, key: OfferKey) {
         if self.offers[key.0].state != State::Running {
             return;
         }
@@ -358,20 +361,20 @@
     fn finish(&mut self, key: OfferKey) {
         self.free(key);
         let upstream = self.offers[key.0].upstream;
-        let silent = match self.trouble(upstream) {
-            Some(Trouble::Silent(share)) => self.random.random_bool(share),
+        let is_lost = match self.degradation(upstream) {
+            Some(Degradation::LostAnswers(share)) => self.random.random_bool(share),
             _ => false,
         };
-        if !silent {
-            let word = if self.offers[key.0].broken { Word::Failed } else { Word::Answered };
-            self.tell(key, word);
+        if !is_lost {
+            let reply = if self.offers[key.0].failed { Reply::Failed } else { Reply::Answered };
+            self.reply(key, reply);
         }
     }
 
     fn free(&mut self, key: OfferKey) {
         let Offer { upstream, begun, .. } = self.offers[key.0];
-        self.offers[key.0].state = State::Over;
-        let mut next = self.upstreams[upstream].gate.finish(
+        self.offers[key.0].state = State::Ended;
+        let mut next = self.upstreams[upstream].limiter.finish(
             Ticket(key.0 as u64),
             self.now,
             Some(self.now.since(begun)),
@@ -382,85 +385,85 @@
                 self.start(waiter);
                 return;
             }
-            next = self.upstreams[upstream].gate.finish(Ticket(ticket), self.now, None);
+            next = self.upstreams[upstream].limiter.finish(Ticket(ticket), self.now, None);
         }
     }
 
-    fn tell(&mut self, key: OfferKey, word: Word) {
+    fn reply(&mut self, key: OfferKey, reply: Reply) {
         let Offer { call, upstream, .. } = self.offers[key.0];
-        let gate = &self.upstreams[upstream].gate;
-        let load = Load { busy: gate.busy(), waiting: gate.waiting(), bodies: 0 };
-        self.offers[key.0].state = State::Over;
+        let limiter = &self.upstreams[upstream].limiter;
+        let load = Load { busy: limiter.busy(), waiting: limiter.waiting(), bodies: 0 };
+        self.offers[key.0].state = State::Ended;
         self.offers[key.0].load = load;
         let entry = self.calls[call.0].entry;
-        self.put(self.distance(entry, upstream), Due::Hear(key, word));
+        self.schedule(self.network_delay(entry, upstream), Event::Reply(key, reply));
     }
 
-    fn hear(&mut self, key: OfferKey, word: Word) {
+    fn receive_reply(&mut self, key: OfferKey, reply: Reply) {
         let Offer { call, upstream, sent, load, .. } = self.offers[key.0];
         if self.calls[call.0].ended {
             return;
         }
-        self.offers[key.0].heard = true;
+        self.offers[key.0].replied = true;
         let took = self.now.since(sent);
-        self.observe(call, upstream, word, took);
+        self.observe(call, upstream, reply, took);
         let entry = self.calls[call.0].entry;
-        if !self.lacks(Mechanism::Load) {
+        if !self.is_disabled(Mechanism::LoadReports) {
             self.entries[entry].records[upstream].update_load(load, self.now);
         }
-        self.calls[call.0].open -= 1;
-        self.calls[call.0].unknown |= word == Word::Failed;
-        match word {
-            Word::Answered => self.end(call, Word::Answered),
-            _ if self.calls[call.0].open > 0 => {}
-            Word::Failed | Word::Refused => self.go_on(call, word),
+        self.calls[call.0].pending -= 1;
+        self.calls[call.0].may_have_run |= reply == Reply::Failed;
+        match reply {
+            Reply::Answered => self.end(call, Reply::Answered),
+            _ if self.calls[call.0].pending > 0 => {}
+            Reply::Failed | Reply::Refused => self.retry_or_end(call, reply),
         }
     }
 
-    fn observe(&mut self, call: CallKey, upstream: usize, word: Word, took: Duration) {
+    fn observe(&mut self, call: CallKey, upstream: usize, reply: Reply, took: Duration) {
         let Call { route, entry, .. } = self.calls[call.0];
-        let sees_failures = !self.lacks(Mechanism::Failures);
-        let compares = !self.lacks(Mechanism::Slowness);
+        let tracks_failures = !self.is_disabled(Mechanism::FailureTracking);
+        let tracks_slowness = !self.is_disabled(Mechanism::Slowness);
         let EntryNode { records, latencies, .. } = &mut self.entries[entry];
-        let sample = match word {
-            Word::Answered => Sample::Answered(took),
-            Word::Failed if sees_failures => Sample::ErrorAnswer(took),
-            Word::Failed => Sample::Answered(took),
-            Word::Refused => Sample::Refused,
+        let sample = match reply {
+            Reply::Answered => Sample::Answered(took),
+            Reply::Failed if tracks_failures => Sample::ErrorAnswer(took),
+            Reply::Failed => Sample::Answered(took),
+            Reply::Refused => Sample::Refused,
         };
         records[upstream].end(self.now, sample);
-        if word != Word::Answered {
+        if reply != Reply::Answered {
             return;
         }
         let latency = latencies[route].get_or_insert(Estimate::new(took));
-        if compares {
+        if tracks_slowness {
             records[upstream].record_slowness(latency.ratio(took), self.now);
         }
         latency.record(took);
     }
 
     /// Offers a call again whose last offer failed, or ends it.
-    fn go_on(&mut self, key: CallKey, word: Word) {
-        let outcome = match word {
-            Word::Failed => Outcome::Unknown(Doubt::Broken),
-            Word::Answered | Word::Refused => Cause::Overloaded.outcome(),
+    fn retry_or_end(&mut self, key: CallKey, reply: Reply) {
+        let outcome = match reply {
+            Reply::Failed => Outcome::Unknown(Doubt::Broken),
+            Reply::Answered | Reply::Refused => Cause::Overloaded.outcome(),
         };
-        if self.may_repeat(key, outcome) {
+        if self.may_retry(key, outcome) {
             return self.offer(key);
         }
-        let unknown = self.calls[key.0].unknown;
-        self.end(key, if unknown { Word::Failed } else { Word::Refused });
+        let may_have_run = self.calls[key.0].may_have_run;
+        self.end(key, if may_have_run { Reply::Failed } else { Reply::Refused });
     }
 
-    fn may_repeat(&mut self, key: CallKey, outcome: Outcome) -> bool {
+    fn may_retry(&mut self, key: CallKey, outcome: Outcome) -> bool {
         let route = self.route(key);
         let call = &self.calls[key.0];
-        let most = if self.lacks(Mechanism::Offers) { 1 } else { OFFERS_MOST };
-        if call.offers.len() >= most {
+        let max = if self.is_disabled(Mechanism::RefusalRetries) { 1 } else { MAX_OFFERS };
+        if call.offers.len() >= max {
             return false;
         }
         let attempt =
-            retry::Attempt { outcome, kind: route.kind, made: call.arrivals, limit: ARRIVALS_MOST };
+            retry::Attempt { outcome, kind: route.kind, made: call.reached, limit: MAX_REACHED };
         let nodes = self.entries.len();
         let window = &mut self.entries[call.entry].windows[route.service];
         let budget = &self.settings.budget;
@@ -468,20 +471,20 @@
         step == retry::Step::Retry
     }
 
-    fn double(&mut self, key: OfferKey) {
+    fn hedge(&mut self, key: OfferKey) {
         let call = self.offers[key.0].call;
-        let is_silent = !self.offers[key.0].heard && self.calls[call.0].open == 1;
-        if self.calls[call.0].ended || !is_silent {
+        let is_unanswered = !self.offers[key.0].replied && self.calls[call.0].pending == 1;
+        if self.calls[call.0].ended || !is_unanswered {
             return;
         }
-        let Some(second) = self.choose(call) else { return };
-        if self.may_repeat(call, retry::TIMED_OUT) {
-            self.send(call, second);
+        let Some(upstream) = self.choose(call) else { return };
+        if self.may_retry(call, retry::TIMED_OUT) {
+            self.send(call, upstream);
         }
     }
 
     /// Ends an attempt; what is still on its way for it is cancelled.
-    fn end(&mut self, key: CallKey, word: Word) {
+    fn end(&mut self, key: CallKey, reply: Reply) {
         if self.calls[key.0].ended {
             return;
         }
@@ -490,45 +493,45 @@
             self.cancel(key, offer);
         }
         match self.calls[key.0].parent {
-            Some(parent) => self.end_nested(parent, word),
-            None => self.end_attempt(key, word),
+            Some(parent) => self.end_nested(parent, reply),
+            None => self.end_attempt(key, reply),
         }
     }
 
     fn cancel(&mut self, call: CallKey, key: OfferKey) {
-        let Offer { upstream, state, heard, .. } = self.offers[key.0];
-        if heard {
+        let Offer { upstream, state, replied, .. } = self.offers[key.0];
+        if replied {
             return;
         }
         match state {
-            State::Over | State::Sent => {}
+            State::Ended | State::Sent => {}
             State::Waiting => {
-                self.upstreams[upstream].gate.cancel(Ticket(key.0 as u64));
+                self.upstreams[upstream].limiter.cancel(Ticket(key.0 as u64));
             }
             State::Running => self.free(key),
         }
-        self.offers[key.0].state = State::Over;
+        self.offers[key.0].state = State::Ended;
         let entry = self.calls[call.0].entry;
         self.entries[entry].records[upstream].abandon();
     }
 
-    fn end_nested(&mut self, parent: OfferKey, word: Word) {
+    fn end_nested(&mut self, parent: OfferKey, reply: Reply) {
         let offer = &mut self.offers[parent.0];
         if offer.state != State::Running {
             return;
         }
-        offer.broken |= word != Word::Answered;
-        offer.answered += usize::from(word == Word::Answered);
-        self.worked(parent);
+        offer.failed |= reply != Reply::Answered;
+        offer.answered += usize::from(reply == Reply::Answered);
+        self.finish_service(parent);
     }
 }
 
 /// Returns `rank` as it is without a mechanism.
 fn adjust(without: Option<Mechanism>, rank: Rank) -> Rank {
     match without {
-        Some(Mechanism::Half) => Rank { class: Class::External, ..rank },
+        Some(Mechanism::NestedFirst) => Rank { class: Class::External, ..rank },
         Some(Mechanism::Priority) => Rank { priority: 0, ..rank },
-        Some(Mechanism::ShortWaits) => Rank { start_by: None, ..rank },
+        Some(Mechanism::BoundedWaits) => Rank { start_by: None, ..rank },
         _ => rank,
     }
 }
--- a/crates/standins/src/served/parts.rs
+++ b/crates/standins/src/queueing/state.rs
@@ -20,7 +20,7 @@
 
 /// What a serving node says of an offer.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub(super) enum Word {
+pub(super) enum Reply {
     Answered,
     Failed,
     Refused,
@@ -43,11 +43,11 @@
     pub(super) refusals: u32,
     pub(super) rank: Rank,
     pub(super) offers: Vec<OfferKey>,
-    /// Offers without a word so far.
-    pub(super) open: u32,
-    pub(super) arrivals: u32,
+    /// Offers without a reply so far.
+    pub(super) pending: u32,
+    pub(super) reached: u32,
     /// Whether an offer may have run.
-    pub(super) unknown: bool,
+    pub(super) may_have_run: bool,
     pub(super) ended: bool,
 }
 
@@ -71,9 +71,9 @@
             refusals: 0,
             rank: Rank::default(),
             offers: Vec::new(),
-            open: 0,
-            arrivals: 0,
-            unknown: false,
+            pending: 0,
+            reached: 0,
+            may_have_run: false,
             ended: false,
         }
     }
@@ -90,11 +90,11 @@
     pub(super) pending: u32,
     /// Calls of the run that were answered.
     pub(super) answered: usize,
-    pub(super) broken: bool,
+    pub(super) failed: bool,
     pub(super) state: State,
     /// Whether its end is known at the entry node.
-    pub(super) heard: bool,
-    /// What the serving node held when it gave its word.
+    pub(super) replied: bool,
+    /// What the serving node held when it gave its reply.
     pub(super) load: Load,
 }
 
@@ -103,17 +103,17 @@
     Sent,
     Waiting,
     Running,
-    Over,
+    Ended,
 }
 
 #[derive(Debug)]
 pub(super) struct Upstream {
     pub(super) service: usize,
-    /// Its place among the upstreams of the service.
-    pub(super) place: usize,
+    /// Its position among the upstreams of the service.
+    pub(super) position: usize,
     pub(super) data_centre: usize,
-    pub(super) speed: f64,
-    pub(super) gate: Limiter,
+    pub(super) slowness: f64,
+    pub(super) limiter: Limiter,
 }
 
 /// An entry node, beside the upstream of the same index.
@@ -122,20 +122,20 @@
     pub(super) records: Vec<Record>,
     pub(super) latencies: Vec<Option<Estimate>>,
     pub(super) windows: Vec<Window>,
-    pub(super) turn: usize,
+    pub(super) calls: usize,
 }
 
 pub(super) fn upstreams(settings: &Settings) -> Vec<Upstream> {
     let mut all = Vec::new();
     for (index, service) in settings.services.iter().enumerate() {
-        for place in 0..service.upstreams {
-            let speed = service.speeds.get(place % service.speeds.len().max(1));
+        for position in 0..service.upstreams {
+            let slowness = service.slowness.get(position % service.slowness.len().max(1));
             all.push(Upstream {
                 service: index,
-                place,
-                data_centre: place % settings.data_centres.max(1),
-                speed: speed.copied().unwrap_or(1.0),
-                gate: Limiter::new(service.slots),
+                position,
+                data_centre: position % settings.data_centres.max(1),
+                slowness: slowness.copied().unwrap_or(1.0),
+                limiter: Limiter::new(service.slots),
             });
         }
     }
--- a/crates/standins/src/memory.rs
+++ b/crates/standins/src/simulation.rs
@@ -1,11 +1,11 @@
 //! In-memory ports for [`fleet::control::Control`]: messages and platform on a virtual clock.
 //!
 //! It counts messages and bytes and checks, at every step, what must always hold. It knows no
-//! machines: a node is a state machine, a message takes a fixed time and is lost or doubled as
+//! machines: a node is a state machine, a message takes a fixed time and is lost or duplicated as
 //! told.
 
-mod agenda;
 mod delivery;
+mod queue;
 
 use fleet::{
     clock::Now,
@@ -26,7 +26,7 @@
     time::Duration,
 };
 
-use self::agenda::{Agenda, Due};
+use self::queue::{Item, Queue};
 
 /// Time between two ticks of a node.
 const TICK: Duration = Duration::from_millis(50);
@@ -34,8 +34,8 @@
 /// Virtual wall clock at the start, in ms since the Unix epoch.
 const EPOCH_MS: u64 = 1_800_000_000_000;
 
-/// Time from a node's death to the next life at its address, at least; lives differ by wall clock.
-const LIFE_GAP: Duration = Duration::from_millis(2);
+/// Time from a node's death to the next incarnation at its address, at least; lives differ by wall clock.
+const INCARNATION_GAP: Duration = Duration::from_millis(2);
 
 /// How the platform behaves.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -63,7 +63,7 @@
     /// Creates the plan of each node.
     pub dissemination: fn() -> Box<dyn dissemination::Strategy>,
     /// Nodes that each node is told of when it starts; 0 leaves only the platform's list.
-    pub contacts: usize,
+    pub seeds: usize,
     /// Seed of everything random.
     pub seed: u64,
 }
@@ -76,22 +76,22 @@
             services: 2,
             latency: Duration::from_millis(1),
             dissemination: || Box::new(dissemination::Epidemic::default()),
-            contacts: 4,
+            seeds: 4,
             seed: 1,
         }
     }
 }
 
 /// One node.
-struct Slot {
+struct Node {
     control: Option<Control>,
-    life: u64,
-    begun: Time,
+    incarnation: u64,
+    started: Time,
     in_force: Version,
     drained: bool,
     paused_until: Option<Time>,
     paused_at: Time,
-    held: Vec<Due>,
+    deferred: Vec<Item>,
 }
 
 /// What was counted.
@@ -110,8 +110,8 @@
     options: Options,
     now: Time,
     calls: u64,
-    agenda: Agenda,
-    slots: Vec<Slot>,
+    queue: Queue,
+    nodes: Vec<Node>,
     random: SmallRng,
     set: Set,
     history: BTreeMap<u64, Set>,
@@ -120,19 +120,19 @@
     source: Source,
     reads: VecDeque<Time>,
     /// Most reads within one second.
-    pub peak: usize,
+    pub peak_reads: usize,
     /// Share of messages that are lost, in %.
     pub loss: u32,
     /// Share of messages that arrive a second time, up to ten seconds later, in %.
-    pub doubling: u32,
-    groups: Vec<u32>,
-    cut: HashSet<usize>,
+    pub duplication: u32,
+    partitions: Vec<u32>,
+    blocked: HashSet<usize>,
     /// Calls between nodes that have neither been answered nor given up.
-    open: HashSet<u64>,
+    pending_calls: HashSet<u64>,
     /// What was counted since the last call of [`Net::take_counts`].
     counts: Counts,
     /// What did not hold, if anything.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
 }
 
 impl Net {
@@ -143,8 +143,8 @@
         let mut net = Net {
             now: Time::from_millis(1_000),
             calls: 0,
-            agenda: Agenda::default(),
-            slots: Vec::new(),
+            queue: Queue::default(),
+            nodes: Vec::new(),
             random,
             set: Set::default(),
             history: BTreeMap::new(),
@@ -152,28 +152,28 @@
             listing: Listing::default(),
             source: Source::Up,
             reads: VecDeque::new(),
-            peak: 0,
+            peak_reads: 0,
             loss: 0,
-            doubling: 0,
-            groups: vec![0; nodes],
-            cut: HashSet::new(),
-            open: HashSet::new(),
+            duplication: 0,
+            partitions: vec![0; nodes],
+            blocked: HashSet::new(),
+            pending_calls: HashSet::new(),
             counts: Counts::default(),
-            broken: Vec::new(),
+            violations: Vec::new(),
             options,
         };
         let instances: Vec<Instance> = (0..nodes).map(|i| net.instance(i)).collect();
         net.listing = Listing { revision: 1, instances };
         for _ in 0..nodes {
-            net.slots.push(Slot {
+            net.nodes.push(Node {
                 control: None,
-                life: 0,
-                begun: net.now,
+                incarnation: 0,
+                started: net.now,
                 in_force: Version::default(),
                 drained: false,
                 paused_until: None,
                 paused_at: net.now,
-                held: Vec::new(),
+                deferred: Vec::new(),
             });
         }
         for node in 0..nodes {
@@ -182,14 +182,14 @@
         net
     }
 
-    /// Returns the number of nodes.
+    /// Returns the sequence of nodes.
     pub fn len(&self) -> usize {
-        self.slots.len()
+        self.nodes.len()
     }
 
     /// Tells whether there are no nodes.
     pub fn is_empty(&self) -> bool {
-        self.slots.is_empty()
+        self.nodes.is_empty()
     }
 
     /// Returns the virtual time.
@@ -199,17 +199,17 @@
 
     /// Returns a node's state machine, if it runs.
     pub fn control(&self, node: usize) -> Option<&Control> {
-        self.slots[node].control.as_ref()
+        self.nodes[node].control.as_ref()
     }
 
     /// Returns the version in force at a node.
     pub fn version(&self, node: usize) -> Version {
-        self.slots[node].in_force
+        self.nodes[node].in_force
     }
 
     /// Tells whether a node runs and is not told to leave.
     pub fn is_working(&self, node: usize) -> bool {
-        self.slots[node].control.is_some() && !self.slots[node].drained
+        self.nodes[node].control.is_some() && !self.nodes[node].drained
     }
 
     /// Returns what was counted since the last call.
@@ -217,38 +217,38 @@
         std::mem::take(&mut self.counts)
     }
 
-    /// Starts a new life of a node, ending the present one.
+    /// Starts a new incarnation of a node, ending the present one.
     pub fn start(&mut self, node: usize) {
         self.kill(node);
-        let count = self.options.contacts.min(self.len());
+        let count = self.options.seeds.min(self.len());
         let stride = self.len().div_ceil(count.max(1));
-        let contacts = (0..count).map(|i| address(i * stride % self.len()));
+        let seeds = (0..count).map(|i| address(i * stride % self.len()));
         let own = self.record(node);
         let settings = Settings {
-            seeds: contacts.collect(),
+            seeds: seeds.collect(),
             dissemination: (self.options.dissemination)(),
             seed: self.random.random(),
             ..Settings::new(own)
         };
-        // A node's own monotonic clock starts with its life.
-        let now = Now { time: Time::default(), ..self.moment() };
-        let slot = &mut self.slots[node];
-        slot.control = Some(Control::new(settings, now));
-        slot.begun = self.now;
-        slot.in_force = Version::default();
-        slot.drained = false;
-        let life = slot.life;
+        // A node's own monotonic clock starts with its incarnation.
+        let now = Now { time: Time::default(), ..self.clock() };
+        let state = &mut self.nodes[node];
+        state.control = Some(Control::new(settings, now));
+        state.started = self.now;
+        state.in_force = Version::default();
+        state.drained = false;
+        let incarnation = state.incarnation;
         let first = Duration::from_micros(self.random.random_range(0..TICK.as_micros() as u64));
-        self.put(first, Due::Tick(node, life));
+        self.schedule(first, Item::Tick(node, incarnation));
     }
 
-    /// Ends a node's life without a word.
+    /// Ends a node's incarnation without a word.
     pub fn kill(&mut self, node: usize) {
-        let slot = &mut self.slots[node];
-        slot.control = None;
-        slot.life += 1;
-        slot.paused_until = None;
-        slot.held.clear();
+        let state = &mut self.nodes[node];
+        state.control = None;
+        state.incarnation += 1;
+        state.paused_until = None;
+        state.deferred.clear();
     }
 
     /// Has a node leave as by a planned stop.
@@ -256,7 +256,7 @@
         self.apply(node, Event::Leave);
     }
 
-    /// Has a node leave, and ends its life after two seconds.
+    /// Has a node leave, and ends its incarnation after two seconds.
     pub fn stop(&mut self, node: usize) {
         self.leave(node);
         self.run(Duration::from_secs(2));
@@ -267,31 +267,31 @@
 
     /// Stops a node's clock for a while; what arrives meanwhile waits.
     pub fn pause(&mut self, node: usize, span: Duration) {
-        let (now, slot) = (self.now, &mut self.slots[node]);
-        if slot.control.is_some() && slot.paused_until.is_none() {
-            slot.paused_until = Some(now + span);
-            slot.paused_at = now;
+        let (now, state) = (self.now, &mut self.nodes[node]);
+        if state.control.is_some() && state.paused_until.is_none() {
+            state.paused_until = Some(now + span);
+            state.paused_at = now;
         }
     }
 
     /// Puts a node into a group; messages pass only within a group.
-    pub fn separate(&mut self, node: usize, group: u32) {
-        self.groups[node] = group;
+    pub fn set_partition(&mut self, node: usize, partition: u32) {
+        self.partitions[node] = partition;
     }
 
     /// Ends every separation.
-    pub fn join(&mut self) {
-        self.groups.fill(0);
+    pub fn heal_partitions(&mut self) {
+        self.partitions.fill(0);
     }
 
     /// Cuts a node off from the platform, or lets it in again.
-    pub fn cut_source(&mut self, node: usize) {
-        self.cut.insert(node);
+    pub fn block_source(&mut self, node: usize) {
+        self.blocked.insert(node);
     }
 
     /// Ends every cut from the platform.
-    pub fn heal_source(&mut self) {
-        self.cut.clear();
+    pub fn unblock_sources(&mut self) {
+        self.blocked.clear();
     }
 
     /// Changes how the platform behaves.
@@ -310,14 +310,14 @@
 
     /// Returns what a node tells operators, if it runs.
     pub fn status(&mut self, node: usize) -> Option<fleet::status::Node> {
-        let now = self.moment_of(node);
-        self.slots[node].control.as_mut().map(|control| control.status(now))
+        let now = self.clock_of(node);
+        self.nodes[node].control.as_mut().map(|control| control.status(now))
     }
 
     /// Separates a data centre from the others.
-    pub fn separate_data_centre(&mut self, data_centre: usize) {
+    pub fn partition_data_centre(&mut self, data_centre: usize) {
         for node in (0..self.len()).filter(|n| n % self.options.data_centres == data_centre) {
-            self.groups[node] = 1;
+            self.partitions[node] = 1;
         }
     }
 
@@ -360,46 +360,46 @@
     }
 
     /// Returns the newest revision that is acceptable, 0 if there is none.
-    pub fn newest_good(&self) -> u64 {
-        let good = |(_, set): &(&u64, &Set)| config::build(set).is_ok();
-        self.history.iter().rev().find(good).map_or(0, |(&revision, _)| revision)
+    pub fn newest_valid(&self) -> u64 {
+        let valid = |(_, set): &(&u64, &Set)| config::build(set).is_ok();
+        self.history.iter().rev().find(valid).map_or(0, |(&revision, _)| revision)
     }
 
     /// Lets virtual time pass.
     pub fn run(&mut self, span: Duration) {
         let until = self.now + span;
-        while let Some((at, due)) = self.agenda.pop(until) {
+        while let Some((at, due)) = self.queue.pop(until) {
             self.now = self.now.max(at);
-            self.happen(due);
+            self.dispatch(due);
         }
         self.now = until;
     }
 
     /// Lets time pass until every running node has `revision` in force; returns how long it took.
     pub fn run_until_in_force(&mut self, revision: u64, limit: Duration) -> Option<Duration> {
-        let begun = self.now;
-        while self.now.since(begun) < limit {
+        let started = self.now;
+        while self.now.since(started) < limit {
             let settled =
-                self.slots.iter().all(|s| s.control.is_none() || s.in_force.revision >= revision);
+                self.nodes.iter().all(|s| s.control.is_none() || s.in_force.revision >= revision);
             if settled {
-                return Some(self.now.since(begun));
+                return Some(self.now.since(started));
             }
             self.run(Duration::from_millis(1));
         }
         None
     }
 
-    fn put(&mut self, after: Duration, due: Due) {
-        self.agenda.put(self.now + after, due);
+    fn schedule(&mut self, after: Duration, due: Item) {
+        self.queue.schedule(self.now + after, due);
     }
 
-    fn moment(&self) -> Now {
+    fn clock(&self) -> Now {
         Now { time: self.now, wall_ms: EPOCH_MS + self.now.millis() }
     }
 
-    /// Returns the moment by a node's own clock, which starts with its life.
-    fn moment_of(&self, node: usize) -> Now {
-        Now { time: Time::at(self.now.since(self.slots[node].begun)), ..self.moment() }
+    /// Returns the clock by a node's own clock, which starts with its incarnation.
+    fn clock_of(&self, node: usize) -> Now {
+        Now { time: Time::at(self.now.since(self.nodes[node].started)), ..self.clock() }
     }
 
     fn instance(&self, node: usize) -> Instance {
@@ -407,15 +407,15 @@
     }
 
     fn record(&self, node: usize) -> Record {
-        let life = self.slots[node].life;
-        let lives = LIFE_GAP * u32::try_from(life).unwrap_or(u32::MAX);
+        let incarnation = self.nodes[node].incarnation;
+        let lives = INCARNATION_GAP * u32::try_from(incarnation).unwrap_or(u32::MAX);
         Record {
             address: address(node),
             traffic: address(node),
             instance: format!("node-{node}"),
             service: format!("service-{}", node % self.options.services),
             data_centre: format!("dc-{}", node % self.options.data_centres),
-            incarnation: self.moment().wall_ms + lives.as_millis() as u64,
+            incarnation: self.clock().wall_ms + lives.as_millis() as u64,
             sequence: 0,
             state: State::Live,
         }
--- a/crates/standins/src/memory/delivery.rs
+++ b/crates/standins/src/simulation/delivery.rs
@@ -9,80 +9,80 @@
 use rand::RngExt;
 use std::{net::SocketAddr, time::Duration};
 
-use super::{Net, Source, TICK, address, agenda::Due, index_of};
+use super::{Net, Source, TICK, address, index_of, queue::Item};
 
 /// Bytes of HTTP headers of a request and its answer, estimated; TCP/IP is not counted.
 const HEADER_BYTES: u64 = 330;
 
 impl Net {
     /// Carries out what is due, unless the node it concerns is dead or paused.
-    pub(super) fn happen(&mut self, due: Due) {
-        let (node, life) = match &due {
-            Due::Tick(node, life) => (*node, *life),
-            Due::Request { to, .. } => (*to, self.slots[*to].life),
-            Due::Response { to, life, .. }
-            | Due::Lost { to, life, .. }
-            | Due::Source { to, life, .. }
-            | Due::Watch { to, life, .. } => (*to, *life),
+    pub(super) fn dispatch(&mut self, due: Item) {
+        let (node, incarnation) = match &due {
+            Item::Tick(node, incarnation) => (*node, *incarnation),
+            Item::Request { to, .. } => (*to, self.nodes[*to].incarnation),
+            Item::Response { to, incarnation, .. }
+            | Item::Failed { to, incarnation, .. }
+            | Item::Source { to, incarnation, .. }
+            | Item::Poll { to, incarnation, .. } => (*to, *incarnation),
         };
-        if self.slots[node].control.is_none() || self.slots[node].life != life {
-            if let Due::Request { call, from, to, request } = due {
-                self.refuse(call, from, to, kind_of(&request));
+        if self.nodes[node].control.is_none() || self.nodes[node].incarnation != incarnation {
+            if let Item::Request { call, from, to, request } = due {
+                self.refuse(call, from, to, method_of(&request));
             }
             return;
         }
-        if let Some(until) = self.slots[node].paused_until {
+        if let Some(until) = self.nodes[node].paused_until {
             if self.now < until {
-                self.hold(node, due, until);
+                self.defer(node, due, until);
                 return;
             }
-            self.wake(node);
+            self.resume(node);
         }
         match due {
-            Due::Tick(node, life) => {
+            Item::Tick(node, incarnation) => {
                 self.apply(node, Event::Tick);
-                self.put(TICK, Due::Tick(node, life));
+                self.schedule(TICK, Item::Tick(node, incarnation));
             }
-            Due::Request { call, from, to, request } => self.serve(call, from, to, request),
-            Due::Response { call, from, to, response, .. } => {
-                if self.open.remove(&call) {
+            Item::Request { call, from, to, request } => self.serve(call, from, to, request),
+            Item::Response { call, from, to, response, .. } => {
+                if self.pending_calls.remove(&call) {
                     self.apply(to, Event::Response(from, response));
                 }
             }
-            Due::Lost { call, from, to, lost, .. } => {
-                if self.open.remove(&call) {
-                    self.apply(to, Event::Failed(from, lost));
+            Item::Failed { call, from, to, error, .. } => {
+                if self.pending_calls.remove(&call) {
+                    self.apply(to, Event::Failed(from, error));
                 }
             }
-            Due::Source { to, answer, .. } => self.apply(to, Event::Source(answer)),
-            Due::Watch { to, query, until, .. } => self.look(to, query, until),
+            Item::Source { to, answer, .. } => self.apply(to, Event::Source(answer)),
+            Item::Poll { to, query, until, .. } => self.poll_source(to, query, until),
         }
     }
 
     /// Keeps what is due at a paused node until it wakes.
-    fn hold(&mut self, node: usize, due: Due, until: Time) {
-        if self.slots[node].held.is_empty() {
-            let life = self.slots[node].life;
-            self.put(until.since(self.now), Due::Tick(node, life));
+    fn defer(&mut self, node: usize, due: Item, until: Time) {
+        if self.nodes[node].deferred.is_empty() {
+            let incarnation = self.nodes[node].incarnation;
+            self.schedule(until.since(self.now), Item::Tick(node, incarnation));
         }
         match due {
             // A paused process has no ticks; the one scheduled above goes on.
-            Due::Tick(..) if !self.slots[node].held.is_empty() => {}
-            due => self.slots[node].held.push(due),
+            Item::Tick(..) if !self.nodes[node].deferred.is_empty() => {}
+            due => self.nodes[node].deferred.push(due),
         }
     }
 
-    fn wake(&mut self, node: usize) {
-        let span = self.now.since(self.slots[node].paused_at);
-        self.slots[node].paused_until = None;
-        let held = std::mem::take(&mut self.slots[node].held);
+    fn resume(&mut self, node: usize) {
+        let span = self.now.since(self.nodes[node].paused_at);
+        self.nodes[node].paused_until = None;
+        let deferred = std::mem::take(&mut self.nodes[node].deferred);
         // Whether the pause or a waiting message is noticed first is a matter of chance.
         let pause_first = self.random.random_bool(0.5);
         if pause_first {
             self.apply(node, Event::Resumed(span));
         }
-        for due in held.into_iter().filter(|due| !matches!(due, Due::Tick(..))) {
-            self.happen(due);
+        for due in deferred.into_iter().filter(|due| !matches!(due, Item::Tick(..))) {
+            self.dispatch(due);
         }
         if !pause_first {
             self.apply(node, Event::Resumed(span));
@@ -90,14 +90,20 @@
     }
 
     fn serve(&mut self, call: u64, from: usize, to: usize, request: Request) {
-        let life = self.slots[from].life;
+        let incarnation = self.nodes[from].incarnation;
         for effect in self.effects_of(to, Event::Request(request)) {
             if let Effect::Reply(response) = effect {
                 self.count(size_of_response(&response));
                 if !self.is_lost(from, to) {
                     let from_address = address(to);
-                    let back = Due::Response { call, from: from_address, to: from, life, response };
-                    self.put(self.options.latency, back);
+                    let back = Item::Response {
+                        call,
+                        from: from_address,
+                        to: from,
+                        incarnation,
+                        response,
+                    };
+                    self.schedule(self.options.latency, back);
                 }
             } else {
                 self.carry_out(to, effect);
@@ -107,10 +113,10 @@
 
     /// Tells a caller at once that nobody listens.
     fn refuse(&mut self, call: u64, from: usize, to: usize, method: Method) {
-        let lost = Error { method, malformed: None };
-        let life = self.slots[from].life;
-        let due = Due::Lost { call, from: address(to), to: from, life, lost };
-        self.put(self.options.latency, due);
+        let error = Error { method, malformed: None };
+        let incarnation = self.nodes[from].incarnation;
+        let due = Item::Failed { call, from: address(to), to: from, incarnation, error };
+        self.schedule(self.options.latency, due);
     }
 
     pub(super) fn apply(&mut self, node: usize, event: Event) {
@@ -120,17 +126,17 @@
     }
 
     fn effects_of(&mut self, node: usize, event: Event) -> Vec<Effect> {
-        let now = self.moment_of(node);
-        let slot = &mut self.slots[node];
-        slot.control.as_mut().map_or_else(Vec::new, |control| control.apply(event, now))
+        let now = self.clock_of(node);
+        let state = &mut self.nodes[node];
+        state.control.as_mut().map_or_else(Vec::new, |control| control.apply(event, now))
     }
 
     fn carry_out(&mut self, node: usize, effect: Effect) {
         match effect {
             Effect::Send(peer, request, timeout) => self.send(node, peer, request, timeout),
-            Effect::Read(query) => self.read(node, query),
+            Effect::Read(query) => self.read_source(node, query),
             Effect::InForce(snapshot) => self.check_in_force(node, &snapshot),
-            Effect::Drain => self.slots[node].drained = true,
+            Effect::Drain => self.nodes[node].drained = true,
             Effect::Reply(_)
             | Effect::Expected(_)
             | Effect::View(_)
@@ -144,48 +150,48 @@
         let Some(to) = index_of(peer).filter(|&to| to < self.len()) else { return };
         self.count(size_of_request(&request));
         self.calls += 1;
-        let (call, life) = (self.calls, self.slots[from].life);
-        self.open.insert(call);
-        let lost = Error { method: kind_of(&request), malformed: None };
-        self.put(timeout, Due::Lost { call, from: peer, to: from, life, lost });
+        let (call, incarnation) = (self.calls, self.nodes[from].incarnation);
+        self.pending_calls.insert(call);
+        let error = Error { method: method_of(&request), malformed: None };
+        self.schedule(timeout, Item::Failed { call, from: peer, to: from, incarnation, error });
         if self.is_lost(from, to) {
             return;
         }
-        if self.random.random_range(0..100) < self.doubling {
+        if self.random.random_range(0..100) < self.duplication {
             let late = Duration::from_millis(self.random.random_range(1..10_000));
-            self.put(late, Due::Request { call, from, to, request: request.clone() });
+            self.schedule(late, Item::Request { call, from, to, request: request.clone() });
         }
-        self.put(self.options.latency, Due::Request { call, from, to, request });
+        self.schedule(self.options.latency, Item::Request { call, from, to, request });
     }
 
-    fn read(&mut self, node: usize, query: Query) {
+    fn read_source(&mut self, node: usize, query: Query) {
         while self.reads.front().is_some_and(|&at| self.now.since(at) > Duration::from_secs(1)) {
             self.reads.pop_front();
         }
         self.reads.push_back(self.now);
         self.counts.reads += 1;
-        self.peak = self.peak.max(self.reads.len());
-        let life = self.slots[node].life;
+        self.peak_reads = self.peak_reads.max(self.reads.len());
+        let incarnation = self.nodes[node].incarnation;
         let (Query::Config { wait, .. } | Query::List { wait, .. } | Query::Changes { wait, .. }) =
             query;
         let until = self.now + wait;
         let delay =
             if let Source::Slow(delay) = self.source { delay } else { self.options.latency };
-        self.put(delay, Due::Watch { to: node, life, query, until });
+        self.schedule(delay, Item::Poll { to: node, incarnation, query, until });
     }
 
-    /// Answers a call to the platform, or looks again in a moment.
-    fn look(&mut self, node: usize, query: Query, until: Time) {
+    /// Answers a call to the platform, or looks again in a clock.
+    fn poll_source(&mut self, node: usize, query: Query, until: Time) {
         let topic = match query {
             Query::Config { .. } => Topic::Config,
             Query::List { .. } => Topic::List,
             Query::Changes { .. } => Topic::Changes,
         };
-        let life = self.slots[node].life;
-        if self.source == Source::Down || self.cut.contains(&node) {
+        let incarnation = self.nodes[node].incarnation;
+        if self.source == Source::Down || self.blocked.contains(&node) {
             let failure = Failure::Unreachable("down".to_owned());
             let answer = Answer::Failed(topic, failure);
-            self.put(self.options.latency, Due::Source { to: node, life, answer });
+            self.schedule(self.options.latency, Item::Source { to: node, incarnation, answer });
             return;
         }
         let answer = match query {
@@ -197,7 +203,7 @@
             }
             _ if self.now < until => {
                 let again = Duration::from_millis(10);
-                self.put(again, Due::Watch { to: node, life, query, until });
+                self.schedule(again, Item::Poll { to: node, incarnation, query, until });
                 return;
             }
             Query::Config { .. } => Answer::Unchanged(topic, self.served.version().revision),
@@ -205,23 +211,23 @@
             // These nodes find each other by gossip and ask for the two things apart.
             Query::Changes { .. } => Answer::Failed(topic, Failure::RateLimited),
         };
-        self.put(self.options.latency, Due::Source { to: node, life, answer });
+        self.schedule(self.options.latency, Item::Source { to: node, incarnation, answer });
     }
 
     /// Checks what must always hold when a version comes into force.
     fn check_in_force(&mut self, node: usize, snapshot: &config::Snapshot) {
-        let (old, new) = (self.slots[node].in_force, snapshot.version);
-        self.slots[node].in_force = new;
+        let (old, new) = (self.nodes[node].in_force, snapshot.version);
+        self.nodes[node].in_force = new;
         if new.revision <= old.revision {
-            self.broken.push(format!("node {node} went from {old} to {new}"));
+            self.violations.push(format!("node {node} went from {old} to {new}"));
         }
         match self.history.get(&new.revision) {
-            None => self.broken.push(format!("node {node} took {new}, which nobody published")),
+            None => self.violations.push(format!("node {node} took {new}, which nobody published")),
             Some(set) if set.version() != new => {
-                self.broken.push(format!("node {node} took {new}, which is only part of it"));
+                self.violations.push(format!("node {node} took {new}, which is only part of it"));
             }
             Some(set) if config::build(set).is_err() => {
-                self.broken.push(format!("node {node} took {new}, which is not acceptable"));
+                self.violations.push(format!("node {node} took {new}, which is not acceptable"));
             }
             Some(_) => {}
         }
@@ -232,7 +238,7 @@
     }
 
     fn is_lost(&mut self, a: usize, b: usize) -> bool {
-        self.groups[a] != self.groups[b] || self.random.random_range(0..100) < self.loss
+        self.partitions[a] != self.partitions[b] || self.random.random_range(0..100) < self.loss
     }
 
     fn count(&mut self, bytes: u64) {
@@ -241,7 +247,7 @@
     }
 }
 
-fn kind_of(request: &Request) -> Method {
+fn method_of(request: &Request) -> Method {
     match request {
         Request::Heartbeat(_) => Method::Heartbeat,
         Request::Pull(_) => Method::Pull,
@@ -253,7 +259,7 @@
 fn size_of_request(request: &Request) -> u64 {
     HEADER_BYTES / 2
         + match request {
-            Request::Heartbeat(beat) => size(beat),
+            Request::Heartbeat(heartbeat) => size(heartbeat),
             Request::Pull(pull) => size(pull),
             Request::Sync(sync) => size(sync),
             Request::Fetch(fetch) => size(fetch),
@@ -263,7 +269,7 @@
 fn size_of_response(response: &Response) -> u64 {
     HEADER_BYTES / 2
         + match response {
-            Response::Heartbeat(beat) => size(beat),
+            Response::Heartbeat(heartbeat) => size(heartbeat),
             Response::Pull(bundle) => size(bundle),
             Response::Sync(sync) => size(sync),
             Response::Fetch(update) => size(update),
--- a/crates/standins/src/memory/agenda.rs
+++ b/crates/standins/src/simulation/queue.rs
@@ -10,31 +10,31 @@
 
 /// Something that is due at a time.
 #[derive(Debug)]
-pub(super) enum Due {
+pub(super) enum Item {
     Tick(usize, u64),
     Request { call: u64, from: usize, to: usize, request: Request },
-    Response { call: u64, from: SocketAddr, to: usize, life: u64, response: Response },
-    Lost { call: u64, from: SocketAddr, to: usize, life: u64, lost: Error },
-    Source { to: usize, life: u64, answer: Answer },
-    Watch { to: usize, life: u64, query: Query, until: Time },
+    Response { call: u64, from: SocketAddr, to: usize, incarnation: u64, response: Response },
+    Failed { call: u64, from: SocketAddr, to: usize, incarnation: u64, error: Error },
+    Source { to: usize, incarnation: u64, answer: Answer },
+    Poll { to: usize, incarnation: u64, query: Query, until: Time },
 }
 
 /// Everything that is due, in order of time and then of insertion.
 #[derive(Debug, Default)]
-pub(super) struct Agenda {
-    number: u64,
+pub(super) struct Queue {
+    sequence: u64,
     entries: BinaryHeap<Reverse<Entry>>,
 }
 
-impl Agenda {
+impl Queue {
     /// Adds what is due at `at`.
-    pub(super) fn put(&mut self, at: Time, due: Due) {
-        self.number += 1;
-        self.entries.push(Reverse(Entry { at, number: self.number, due }));
+    pub(super) fn schedule(&mut self, at: Time, due: Item) {
+        self.sequence += 1;
+        self.entries.push(Reverse(Entry { at, sequence: self.sequence, due }));
     }
 
     /// Takes the first entry that is due no later than `until`.
-    pub(super) fn pop(&mut self, until: Time) -> Option<(Time, Due)> {
+    pub(super) fn pop(&mut self, until: Time) -> Option<(Time, Item)> {
         if self.entries.peek()?.0.at > until {
             return None;
         }
@@ -42,17 +42,17 @@
     }
 }
 
-/// An entry of the agenda, ordered by time and then by insertion.
+/// An entry of the queue, ordered by time and then by insertion.
 #[derive(Debug)]
 struct Entry {
     at: Time,
-    number: u64,
-    due: Due,
+    sequence: u64,
+    due: Item,
 }
 
 impl PartialEq for Entry {
     fn eq(&self, other: &Self) -> bool {
-        (self.at, self.number) == (other.at, other.number)
+        (self.at, self.sequence) == (other.at, other.sequence)
     }
 }
 
@@ -66,6 +66,6 @@
 
 impl Ord for Entry {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        (self.at, self.number).cmp(&(other.at, other.number))
+        (self.at, self.sequence).cmp(&(other.at, other.sequence))
     }
 }
--- a/crates/standins/src/upstream.rs
+++ b/crates/standins/src/upstream.rs
@@ -17,22 +17,22 @@
     time::sleep,
 };
 
-use crate::caller::{self, WORK};
+use crate::caller::{self, WORK_HEADER};
 
 /// Most headers of a request.
-const HEADER_LIMIT: usize = 64;
+const MAX_HEADERS: usize = 64;
 
 /// End of the path of a request that ends the process of every upstream that runs it.
-pub const FATAL: &str = "/fatal";
+pub const POISON_SUFFIX: &str = "/fatal";
 
 /// Time from the beginning of such a request to the end of the process.
-const FATAL_WORK: Duration = Duration::from_millis(20);
+const CRASH_DELAY: Duration = Duration::from_millis(20);
 
 /// Time from the end of a process to its next start.
-const RESTART: Duration = Duration::from_millis(300);
+const RESTART_DELAY: Duration = Duration::from_millis(300);
 
 /// Time between two attempts to listen at the address of the former process.
-const RELISTEN: Duration = Duration::from_millis(10);
+const REBIND_INTERVAL: Duration = Duration::from_millis(10);
 
 /// How an upstream behaves.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
@@ -51,9 +51,9 @@
     /// It answers with less than it declared and closes the connection.
     Truncate,
     /// It answers twice.
-    Double,
+    Duplicate,
     /// It answers with the id of another request.
-    Cross,
+    WrongId,
     /// It refuses with 503 before running anything.
     Refuse,
 }
@@ -64,16 +64,16 @@
     /// Address to listen at; port 0 for a free one.
     pub listen: SocketAddr,
     /// Time a request takes.
-    pub work: Duration,
+    pub service_time: Duration,
     /// Requests run at once; more are answered with 503 and counted as shed.
     pub slots: usize,
     /// Bytes of an answer.
-    pub answer: usize,
+    pub answer_bytes: usize,
 }
 
 /// A further call that a request causes, through a node.
 #[derive(Clone, Debug)]
-pub struct Next {
+pub struct Nested {
     /// Address of the node for calls.
     pub node: SocketAddr,
     /// Path, which names the service.
@@ -84,9 +84,9 @@
     fn default() -> Self {
         Settings {
             listen: SocketAddr::from(([127, 0, 0, 1], 0)),
-            work: Duration::ZERO,
+            service_time: Duration::ZERO,
             slots: 10,
-            answer: 64,
+            answer_bytes: 64,
         }
     }
 }
@@ -103,7 +103,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
     /// How often each named piece of work was begun.
-    pub begun: HashMap<String, u32>,
+    pub runs_by_work: HashMap<String, u32>,
     /// When each named piece of work was begun, oldest first.
     pub starts: Vec<(Instant, String)>,
     /// Requests begun.
@@ -113,17 +113,17 @@
     /// Requests answered with 503 for want of a slot.
     pub shed: u64,
     /// Most requests run at once.
-    pub most_busy: usize,
+    pub max_busy: usize,
     /// When its process ended under a request, oldest first.
-    pub ends: Vec<Instant>,
+    pub crashes: Vec<Instant>,
     /// Requests that end the process, as they came here: when they were begun, and their paths.
-    pub fatal: Vec<(Instant, String)>,
+    pub poison_requests: Vec<(Instant, String)>,
 }
 
 struct State {
     mode: Mode,
-    work: Duration,
-    next: Option<Next>,
+    service_time: Duration,
+    nested: Option<Nested>,
     busy: usize,
     ledger: Ledger,
     tasks: Vec<AbortHandle>,
@@ -147,8 +147,8 @@
         let address = socket.local_addr()?;
         let state = State {
             mode: Mode::Normal,
-            work: settings.work,
-            next: None,
+            service_time: settings.service_time,
+            nested: None,
             busy: 0,
             ledger: Ledger::default(),
             tasks: Vec::new(),
@@ -172,13 +172,13 @@
     }
 
     /// Changes the time a request takes.
-    pub fn set_work(&self, work: Duration) {
-        self.lock().work = work;
+    pub fn set_service_time(&self, service_time: Duration) {
+        self.lock().service_time = service_time;
     }
 
     /// Has each request cause a further call before it is answered.
-    pub fn set_next(&self, next: Next) {
-        self.lock().next = Some(next);
+    pub fn set_nested(&self, nested: Nested) {
+        self.lock().nested = Some(nested);
     }
 
     /// Closes the listener and every connection, as a killed process would.
@@ -189,18 +189,18 @@
     }
 
     /// Ends the process, and starts it again after a while unless it is killed meanwhile.
-    fn fall(&self) {
+    fn crash(&self) {
         let server = self.clone();
         tokio::spawn(async move {
-            server.lock().ledger.ends.push(Instant::now());
+            server.lock().ledger.crashes.push(Instant::now());
             server.kill();
             let kills = server.lock().kills;
-            sleep(RESTART).await;
+            sleep(RESTART_DELAY).await;
             while server.lock().kills == kills {
                 if let Ok(listener) = TcpListener::bind(server.address).await {
                     return server.serve_on(listener);
                 }
-                sleep(RELISTEN).await;
+                sleep(REBIND_INTERVAL).await;
             }
         });
     }
@@ -248,7 +248,7 @@
                 _ => {}
             }
             let status = self.run(&request).await;
-            let size = self.settings.answer;
+            let size = self.settings.answer_bytes;
             match mode {
                 Mode::Silent => std::future::pending().await,
                 Mode::CloseAfter => return Ok(()),
@@ -256,11 +256,11 @@
                     respond(&mut stream, &request, status, size, size / 2).await?;
                     return Ok(());
                 }
-                Mode::Double => {
+                Mode::Duplicate => {
                     respond(&mut stream, &request, status, size, size).await?;
                     respond(&mut stream, &request, status, size, size).await?;
                 }
-                Mode::Cross => {
+                Mode::WrongId => {
                     let other = Request { id: Some("0".to_owned()), ..request };
                     respond(&mut stream, &other, status, size, size).await?;
                 }
@@ -272,26 +272,26 @@
 
     /// Runs one request and returns the status of its answer.
     async fn run(&self, request: &Request) -> &'static str {
-        let Some(busy) = Busy::begin(self, request) else { return "503 Shed" };
-        if request.path.ends_with(FATAL) {
-            self.lock().ledger.fatal.push((Instant::now(), request.path.clone()));
-            sleep(FATAL_WORK).await;
-            self.fall();
+        let Some(run) = Run::begin(self, request) else { return "503 Shed" };
+        if request.path.ends_with(POISON_SUFFIX) {
+            self.lock().ledger.poison_requests.push((Instant::now(), request.path.clone()));
+            sleep(CRASH_DELAY).await;
+            self.crash();
             std::future::pending::<()>().await;
         }
-        let work = self.lock().work;
-        if !work.is_zero() {
-            sleep(work).await;
+        let service_time = self.lock().service_time;
+        if !service_time.is_zero() {
+            sleep(service_time).await;
         }
         let mut status = "200 OK";
-        let next = self.lock().next.clone();
-        if let Some(next) = next {
+        let nested = self.lock().nested.clone();
+        if let Some(nested) = nested {
             let deadline = request.deadline_ms.as_deref().and_then(|t| t.parse().ok());
-            let answer = caller::get_once(next.node, &next.path, deadline).await;
-            let whole = answer.is_ok_and(|a| a.status == 200);
-            status = if whole { "200 OK" } else { "502 Failed" };
+            let answer = caller::get_once(nested.node, &nested.path, deadline).await;
+            let succeeded = answer.is_ok_and(|a| a.status == 200);
+            status = if succeeded { "200 OK" } else { "502 Failed" };
         }
-        busy.finish();
+        run.finish();
         status
     }
 
@@ -301,11 +301,11 @@
 }
 
 /// A request being run, counted while it exists.
-struct Busy<'a> {
+struct Run<'a> {
     upstream: &'a Upstream,
 }
 
-impl<'a> Busy<'a> {
+impl<'a> Run<'a> {
     fn begin(upstream: &'a Upstream, request: &Request) -> Option<Self> {
         let mut state = upstream.lock();
         if state.busy >= upstream.settings.slots {
@@ -313,14 +313,14 @@
             return None;
         }
         state.busy += 1;
-        state.ledger.most_busy = state.ledger.most_busy.max(state.busy);
+        state.ledger.max_busy = state.ledger.max_busy.max(state.busy);
         state.ledger.runs += 1;
         if let Some(work) = &request.work {
-            *state.ledger.begun.entry(work.clone()).or_default() += 1;
+            *state.ledger.runs_by_work.entry(work.clone()).or_default() += 1;
             state.ledger.starts.push((Instant::now(), work.clone()));
         }
         drop(state);
-        Some(Busy { upstream })
+        Some(Run { upstream })
     }
 
     fn finish(self) {
@@ -328,7 +328,7 @@
     }
 }
 
-impl Drop for Busy<'_> {
+impl Drop for Run<'_> {
     fn drop(&mut self) {
         self.upstream.lock().busy -= 1;
     }
@@ -354,7 +354,7 @@
 
 /// Parses a head; returns the request and its length with the body.
 fn parse(buffer: &[u8]) -> io::Result<Option<(Request, usize)>> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADER_LIMIT];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
     let status = head.parse(buffer).map_err(io::Error::other)?;
     let httparse::Status::Complete(end) = status else { return Ok(None) };
@@ -365,7 +365,7 @@
     let body = find("content-length").and_then(|text| text.parse().ok()).unwrap_or(0usize);
     let request = Request {
         path: head.path.unwrap_or_default().to_owned(),
-        work: find(WORK),
+        work: find(WORK_HEADER),
         id: find("baobab-id"),
         deadline_ms: find("baobab-deadline-ms"),
     };
@@ -382,8 +382,9 @@
 ) -> io::Result<()> {
     let id = request.id.as_ref().map(|id| format!("baobab-id: {id}\r\n")).unwrap_or_default();
     let work = request.work.as_deref().unwrap_or("");
-    let head =
-        format!("HTTP/1.1 {status}\r\ncontent-length: {declared}\r\n{id}{WORK}: {work}\r\n\r\n");
+    let head = format!(
+        "HTTP/1.1 {status}\r\ncontent-length: {declared}\r\n{id}{WORK_HEADER}: {work}\r\n\r\n"
+    );
     let mut answer = head.into_bytes();
     answer.resize(answer.len() + written, b'x');
     stream.write_all(&answer).await
--- a/crates/traffic/tests/claims.rs
+++ b/crates/traffic/tests/claims.rs
@@ -23,7 +23,7 @@
 #[test]
 fn a_call_cancelled_in_the_queue_does_not_run() {
     let rig = Rig::new(one_slot(), PROFILE);
-    rig.upstreams[0].set_work(Duration::from_secs(2));
+    rig.upstreams[0].set_service_time(Duration::from_secs(2));
     let entry = rig.entry.traffic;
     rig.runtime
         .spawn(async move { Caller::new(entry).call(&Call::post("/paydesk/a", "first")).await });
@@ -34,7 +34,7 @@
     rig.wait(|| rig.nodes[0].proxy.calls_in_flight() == 2);
     second.abort();
     rig.wait(|| rig.nodes[0].proxy.calls_in_flight() == 1);
-    rig.upstreams[0].set_work(Duration::ZERO);
+    rig.upstreams[0].set_service_time(Duration::ZERO);
     assert_eq!(rig.call(&Call::post("/paydesk/a", "third")).outcome(), "answered");
     assert_eq!((rig.runs("second"), rig.runs("third")), (0, 1));
 }
@@ -59,7 +59,7 @@
 #[test]
 fn concurrent_calls_never_exceed_the_slots() {
     let rig = Rig::new(vec![Settings { slots: 3, ..Settings::default() }], PROFILE);
-    rig.upstreams[0].set_work(Duration::from_millis(5));
+    rig.upstreams[0].set_service_time(Duration::from_millis(5));
     let entry = rig.entry.traffic;
     let calls: Vec<_> = (0..60)
         .map(|i| {
@@ -75,7 +75,7 @@
         assert_eq!(rig.runs(&format!("w{i}")), expect, "{outcome}");
     }
     let ledger = rig.upstreams[0].ledger();
-    assert!(ledger.most_busy <= 3);
+    assert!(ledger.max_busy <= 3);
     assert_eq!(ledger.shed, 0);
 }
 
@@ -83,7 +83,7 @@
 #[test]
 fn a_draining_node_finishes_calls_in_flight_and_refuses_new_ones() {
     let rig = Rig::new(one_slot(), PROFILE);
-    rig.upstreams[0].set_work(Duration::from_millis(300));
+    rig.upstreams[0].set_service_time(Duration::from_millis(300));
     let entry = rig.entry.traffic;
     let first = rig
         .runtime
--- a/crates/traffic/tests/rig/mod.rs
+++ b/crates/traffic/tests/rig/mod.rs
@@ -124,7 +124,7 @@
 
     /// Returns how often `work` was started, over all upstreams.
     pub(crate) fn runs(&self, work: &str) -> u32 {
-        self.upstreams.iter().filter_map(|u| u.ledger().begun.get(work).copied()).sum()
+        self.upstreams.iter().filter_map(|u| u.ledger().runs_by_work.get(work).copied()).sum()
     }
 
     /// Waits until `done` returns `true`.
--- a/crates/traffic/tests/script.rs
+++ b/crates/traffic/tests/script.rs
@@ -27,8 +27,8 @@
     Mode::CloseBefore,
     Mode::CloseAfter,
     Mode::Truncate,
-    Mode::Double,
-    Mode::Cross,
+    Mode::Duplicate,
+    Mode::WrongId,
     Mode::Refuse,
 ];
 
@@ -114,7 +114,7 @@
 fn outcomes_are_true_after_any_faults() {
     fn property(actions: Vec<Action>) -> TestResult {
         let work = Duration::from_millis(2);
-        let upstream = Settings { slots: 2, work, ..Settings::default() };
+        let upstream = Settings { slots: 2, service_time: work, ..Settings::default() };
         let rig = Rig::new(vec![upstream; UPSTREAMS], PROFILE);
         let mut told = Told::new();
         for action in actions {
--- a/crates/traffic/tests/silent_connections.rs
+++ b/crates/traffic/tests/silent_connections.rs
@@ -66,7 +66,7 @@
 /// Returns a rig with six pooled connections through a middlebox that has dropped their state.
 fn rig_behind_middlebox() -> (Rig, Middlebox) {
     let work = Duration::from_millis(60);
-    let rig = Rig::new(vec![Settings { work, ..Settings::default() }], PROFILE);
+    let rig = Rig::new(vec![Settings { service_time: work, ..Settings::default() }], PROFILE);
     let middlebox = Middlebox::start(rig.nodes[0].traffic);
     rig.set_view(&[record(0, middlebox.address, State::Live)]);
     let entry = rig.entry.traffic;
--- a/crates/traffic/tests/upstream_faults.rs
+++ b/crates/traffic/tests/upstream_faults.rs
@@ -33,7 +33,7 @@
     check(Mode::CloseBefore, "unknown", "broken", 0);
     check(Mode::CloseAfter, "unknown", "broken", 1);
     check(Mode::Truncate, "unknown", "bad-answer", 1);
-    check(Mode::Cross, "unknown", "bad-answer", 1);
+    check(Mode::WrongId, "unknown", "bad-answer", 1);
     check(Mode::Refuse, "not-run", "refused", 0);
 }
 
@@ -57,7 +57,7 @@
         Mode::CloseBefore,
         Mode::CloseAfter,
         Mode::Truncate,
-        Mode::Cross,
+        Mode::WrongId,
         Mode::Refuse,
     ] {
         check_read(mode);
@@ -69,7 +69,7 @@
 #[test]
 fn a_doubled_answer_is_not_taken_for_the_next() {
     let rig = Rig::new(vec![Settings::default()], PROFILE);
-    rig.upstreams[0].set_mode(Mode::Double);
+    rig.upstreams[0].set_mode(Mode::Duplicate);
     for i in 0..30 {
         let work = format!("pay-{i}");
         let answer = rig.call(&Call::post("/paydesk/payments", &work));
--- a/xtask/src/bench/calls.rs
+++ b/xtask/src/bench/calls.rs
@@ -83,7 +83,11 @@
     let settings = Settings {
         daemon: programs.join("baobabrelayd"),
         instances,
-        upstream: upstream::Settings { work: WORK, slots: SLOTS, ..upstream::Settings::default() },
+        upstream: upstream::Settings {
+            service_time: WORK,
+            slots: SLOTS,
+            ..upstream::Settings::default()
+        },
         traffic_threads: 1,
         ..Settings::default()
     };
@@ -106,17 +110,18 @@
     // At light load the upstreams answer at once: the timer of a stand-in that works for some ms
     // is off by up to a ms, which would hide what the nodes add.
     let work = if load == LIGHT { Duration::ZERO } else { WORK };
-    mesh.spots.iter().for_each(|spot| spot.upstream.set_work(work));
-    let upstreams: Vec<SocketAddr> = mesh.spots[1..].iter().map(|s| s.upstream.address()).collect();
+    mesh.instances.iter().for_each(|instance| instance.upstream.set_service_time(work));
+    let upstreams: Vec<SocketAddr> =
+        mesh.instances[1..].iter().map(|s| s.upstream.address()).collect();
     let straight = drive(mesh, callers, "/balance", move |i| upstreams[i % UPSTREAMS]);
-    let entry = mesh.spots[0].traffic;
+    let entry = mesh.instances[0].traffic;
     let before = processor_times(mesh);
     let through = drive(mesh, callers, "/paydesk/balance", move |_| entry);
     let after = processor_times(mesh);
     let (baseline, times) = (times_of(&straight), times_of(&through));
     let answered = through.iter().filter(|m| m.answered).count();
     report.add(
-        Line::new("added_latency_ms", mesh.spots.len())
+        Line::new("added_latency_ms", mesh.instances.len())
             .word("load", load)
             .figure("p50", times.ms(50.0) - baseline.ms(50.0))
             .figure("p99", times.ms(99.0) - baseline.ms(99.0))
@@ -129,7 +134,7 @@
     let used: Vec<f64> = after.iter().zip(&before).map(|(b, a)| b - a).collect();
     let per_call = |seconds: f64| 1e6 * seconds / through.len() as f64;
     report.add(
-        Line::new("processor_us_per_call", mesh.spots.len())
+        Line::new("processor_us_per_call", mesh.instances.len())
             .word("load", load)
             .figure("entry", per_call(used[0]))
             .figure("serving", per_call(used[1..].iter().sum())),
@@ -146,7 +151,7 @@
         });
         Some(nanoseconds.sum::<u64>() as f64 / 1e9)
     };
-    (0..mesh.spots.len()).map(|node| used(node).unwrap_or(0.0)).collect()
+    (0..mesh.instances.len()).map(|node| used(node).unwrap_or(0.0)).collect()
 }
 
 /// Has `callers` make reads one after the other for a while.
@@ -190,7 +195,7 @@
 
 fn recovery(mesh: &mut Mesh, name: &str, fault: Fault, report: &mut Report) -> Result<(), Failure> {
     let running = Arc::new(AtomicBool::new(true));
-    let entry = mesh.spots[0].traffic;
+    let entry = mesh.instances[0].traffic;
     let spawn = |call: Call| {
         let running = running.clone();
         mesh.runtime().spawn(make(entry, call, move || running.load(Ordering::SeqCst)))
@@ -210,7 +215,7 @@
         let last_told = failed.iter().map(|m| (m.begun + m.elapsed).duration_since(begun)).max();
         let after: Vec<Made> = made.iter().copied().filter(|m| m.begun >= begun).collect();
         report.add(
-            Line::new("recovery_ms", mesh.spots.len())
+            Line::new("recovery_ms", mesh.instances.len())
                 .word("fault", name)
                 .word("calls", kind)
                 .figure("value", last_begun.unwrap_or_default().as_secs_f64() * 1e3)
@@ -225,14 +230,14 @@
 
 fn inflict(mesh: &mut Mesh, fault: Fault) -> Result<(), Failure> {
     let victim = 2;
-    let upstream = mesh.spots[victim].upstream.clone();
+    let upstream = mesh.instances[victim].upstream.clone();
     match fault {
         Fault::NodeKilled => mesh.kill_node(victim)?,
         Fault::NodeFrozen => mesh.signal_node(victim, Signal::STOP)?,
         Fault::UpstreamKilled => upstream.kill(),
         Fault::UpstreamFrozen => upstream.set_mode(Mode::Frozen),
         Fault::UpstreamSilent => upstream.set_mode(Mode::Silent),
-        Fault::TenTimesSlower => upstream.set_work(WORK * 10),
+        Fault::TenTimesSlower => upstream.set_service_time(WORK * 10),
     }
     Ok(())
 }
--- a/xtask/src/bench/chain.rs
+++ b/xtask/src/bench/chain.rs
@@ -4,7 +4,7 @@
 use standins::{
     caller::{Call, Caller},
     mesh::{Mesh, Place, Settings},
-    upstream::{Mode, Next},
+    upstream::{Mode, Nested},
 };
 use std::{
     path::Path,
@@ -30,21 +30,21 @@
     let mesh = start(programs)?;
     let times = drive(&mesh, CALLS);
     report.add(
-        Line::new("chain_ms", mesh.spots.len())
+        Line::new("chain_ms", mesh.instances.len())
             .count("depth", DEPTH as u64)
             .times(&times)
             .figure("p50_per_hop", times.ms(50.0) / DEPTH as f64),
     );
     let before = runs(&mesh);
-    for spot in &mesh.spots[(DEPTH - 1) * WIDTH..] {
-        spot.upstream.set_mode(Mode::CloseAfter);
+    for instance in &mesh.instances[(DEPTH - 1) * WIDTH..] {
+        instance.upstream.set_mode(Mode::CloseAfter);
     }
     drive(&mesh, CALLS);
     let after = runs(&mesh);
     let calls: Vec<u64> = after.iter().zip(&before).map(|(b, a)| b - a).collect();
     let inner = calls[..DEPTH - 1].iter().copied().max().unwrap_or(0);
     report.add(
-        Line::new("chain_calls", mesh.spots.len())
+        Line::new("chain_calls", mesh.instances.len())
             .count("depth", DEPTH as u64)
             .count("calls", CALLS)
             .count("most_at_inner_level", inner)
@@ -61,9 +61,9 @@
     let settings =
         Settings { daemon: programs.join("baobabrelayd"), instances, ..Settings::default() };
     let mesh = Mesh::start(&settings)?;
-    for (i, spot) in mesh.spots.iter().enumerate().take((DEPTH - 1) * WIDTH) {
+    for (i, instance) in mesh.instances.iter().enumerate().take((DEPTH - 1) * WIDTH) {
         let path = format!("/{}/x", name(i / WIDTH + 1));
-        spot.upstream.set_next(Next { node: spot.traffic, path });
+        instance.upstream.set_nested(Nested { node: instance.traffic, path });
     }
     let keys: Vec<String> = (0..DEPTH).map(|level| format!("services/{}", name(level))).collect();
     let mut documents = vec![("profiles/p", Some(PROFILE))];
@@ -78,7 +78,7 @@
 }
 
 fn drive(mesh: &Mesh, calls: u64) -> Times {
-    let entry = mesh.spots[0].traffic;
+    let entry = mesh.instances[0].traffic;
     mesh.runtime().block_on(async {
         let mut times = Times::default();
         let mut caller = Caller::new(entry);
@@ -94,8 +94,8 @@
 
 /// Returns the calls that were run at each level.
 fn runs(mesh: &Mesh) -> Vec<u64> {
-    mesh.spots
+    mesh.instances
         .chunks(WIDTH)
-        .map(|level| level.iter().map(|spot| spot.upstream.ledger().runs).sum())
+        .map(|level| level.iter().map(|instance| instance.upstream.ledger().runs).sum())
         .collect()
 }
--- a/xtask/src/bench/fleet.rs
+++ b/xtask/src/bench/fleet.rs
@@ -64,7 +64,8 @@
     );
     report.add(Line::new("source_reads_per_s", count).figure("value", read as f64 / span));
     report.add(Line::new("control_cpu_percent", count).figure("value", 100.0 * cpu / span));
-    let memory = (0..mesh.spots.len()).filter_map(|i| memory_mb(mesh.pid(i)?)).fold(0.0, f64::max);
+    let memory =
+        (0..mesh.instances.len()).filter_map(|i| memory_mb(mesh.pid(i)?)).fold(0.0, f64::max);
     report.add(Line::new("node_memory_mb", count).figure("value", memory));
     Ok(())
 }
@@ -81,7 +82,8 @@
     }
     thread::sleep(Duration::from_secs(2));
     let (moved, span) = (loopback_bytes()? - bytes, begun.elapsed().as_secs_f64());
-    let arrivals: Vec<Vec<(u64, u64)>> = (0..mesh.spots.len()).map(|i| arrivals(mesh, i)).collect();
+    let arrivals: Vec<Vec<(u64, u64)>> =
+        (0..mesh.instances.len()).map(|i| arrivals(mesh, i)).collect();
     for (revision, at) in published {
         let reached = |node: &Vec<(u64, u64)>| {
             node.iter().find(|(held, _)| *held >= revision).map(|(_, when)| *when)
@@ -105,17 +107,17 @@
 fn herd(mesh: &mut Mesh, count: usize, report: &mut Report) -> Result<(), Failure> {
     let newest = mesh.platform.publish(&[("profiles/base", Some(r#"{"deadline_ms": 9000}"#))]);
     require(mesh.wait_in_force(newest, LIMIT), "a version does not come into force")?;
-    for node in 0..mesh.spots.len() {
+    for node in 0..mesh.instances.len() {
         mesh.kill_node(node)?;
     }
     mesh.platform.take_peak();
     let begun = wall_ms();
-    for node in 0..mesh.spots.len() {
+    for node in 0..mesh.instances.len() {
         mesh.start_node(node)?;
     }
     let started = wall_ms();
     require(mesh.wait_in_force(newest, LIMIT), "the herd does not come back")?;
-    let last = (0..mesh.spots.len())
+    let last = (0..mesh.instances.len())
         .filter_map(|i| arrivals(mesh, i).into_iter().find(|(held, _)| *held >= newest))
         .map(|(_, when)| when)
         .max()
@@ -144,7 +146,7 @@
 
 /// Returns the processor time of the control part of each node, in seconds.
 fn control_seconds(mesh: &Mesh) -> Vec<f64> {
-    (0..mesh.spots.len())
+    (0..mesh.instances.len())
         .map(|node| {
             let metrics = mesh.page(node, "/metrics").unwrap_or_default();
             let line = metrics.lines().find(|line| line.starts_with("baobabrelay_control_cpu"));
--- a/xtask/src/bench/memory.rs
+++ b/xtask/src/bench/memory.rs
@@ -4,7 +4,7 @@
 //! of the virtual clock, at one millisecond per message.
 
 use fleet::dissemination::{Epidemic, Pull, Strategy, Tree};
-use standins::memory::{Net, Options};
+use standins::simulation::{Net, Options};
 use std::time::Duration;
 
 use super::report::{Line, Report, Times};
--- a/xtask/src/demo.rs
+++ b/xtask/src/demo.rs
@@ -84,7 +84,10 @@
     let settings = Settings {
         daemon: programs.join("baobabrelayd"),
         instances: places(&SERVICES, &DATA_CENTRES, UPSTREAMS),
-        upstream: upstream::Settings { work: Duration::from_millis(2), ..Default::default() },
+        upstream: upstream::Settings {
+            service_time: Duration::from_millis(2),
+            ..Default::default()
+        },
         ..Settings::default()
     };
     let mut mesh = Mesh::start(&settings)?;
@@ -108,7 +111,7 @@
 }
 
 fn publish(mesh: &Mesh, show: &mut Show) {
-    let count = mesh.spots.len();
+    let count = mesh.instances.len();
     let joined = mesh.wait_upstreams("paydesk", 2 * UPSTREAMS, Duration::from_secs(10));
     show.step(
         joined.is_some().into(),
@@ -165,7 +168,7 @@
     let bad = mesh.platform.publish(&[("profiles/reading", Some(BAD))]);
     let seen =
         mesh.wait(BOUND, |mesh| status(programs, mesh).contains("/attemps: is not a known field"));
-    let kept = (0..mesh.spots.len()).all(|i| mesh.revision(i) == before);
+    let kept = (0..mesh.instances.len()).all(|i| mesh.revision(i) == before);
     show.step(
         (seen.is_some() && kept).into(),
         &format!(
@@ -180,7 +183,7 @@
 
 fn stop(mesh: &mut Mesh, show: &mut Show) -> Result<(), Failure> {
     let leaving = 0;
-    let entry = mesh.spots[3].traffic;
+    let entry = mesh.instances[3].traffic;
     let running = Arc::new(AtomicBool::new(true));
     let handle = mesh.runtime().handle().clone();
     let flag = running.clone();
@@ -209,7 +212,7 @@
 fn kill(mesh: &mut Mesh, show: &mut Show) -> Result<(), Failure> {
     let killed = 2;
     mesh.kill_node(killed)?;
-    let entry = mesh.spots[1].traffic;
+    let entry = mesh.instances[1].traffic;
     let begun = Instant::now();
     let told = mesh.runtime().block_on(async {
         let mut caller = Caller::new(entry);
@@ -241,14 +244,14 @@
 
 /// Silences one upstream and shows how the time line tells what happened.
 fn freeze(mesh: &Mesh, programs: &Path, show: &mut Show) -> Result<(), Failure> {
-    let silent = &mesh.spots[4];
+    let silent = &mesh.instances[4];
     let address = silent.peers.to_string();
     silent.upstream.set_mode(upstream::Mode::Silent);
     let reads = load_in_parallel(mesh, 5, 8, 5);
     silent.upstream.set_mode(upstream::Mode::Normal);
     show.step(
         (reads.count("answered") == 40).into(),
-        &format!("{} goes silent: 40 reads: {:?}", silent.instance, reads.outcomes),
+        &format!("{} goes silent: 40 reads: {:?}", silent.name, reads.outcomes),
     );
     let told = |line: &str| line.contains(" retried ") && line.contains(&address);
     let seen =
@@ -262,7 +265,7 @@
 }
 
 fn events(programs: &Path, mesh: &Mesh) -> Result<String, Failure> {
-    let output = ctl(programs, &["timeline", "--node", &mesh.spots[1].operators.to_string()])?;
+    let output = ctl(programs, &["timeline", "--node", &mesh.instances[1].operators.to_string()])?;
     Ok(String::from_utf8_lossy(&output.stdout).into_owned())
 }
 
@@ -288,7 +291,7 @@
 }
 
 fn ask(mesh: &Mesh, programs: &Path, show: &mut Show) -> Result<(), Failure> {
-    let node = mesh.spots[1].operators.to_string();
+    let node = mesh.instances[1].operators.to_string();
     let explained = ctl(programs, &["explain", "shelfview", "--node", &node])?;
     show.step(explained.status.success().into(), "baobabctl explain names an eligible upstream");
     let text = events(programs, mesh)?;
@@ -326,13 +329,13 @@
 
 /// Returns how many requests the upstreams of `service` have run.
 fn runs_of(mesh: &Mesh, service: &str) -> u64 {
-    let of_service = mesh.spots.iter().filter(|spot| spot.place.service == service);
-    of_service.map(|spot| spot.upstream.ledger().runs).sum()
+    let of_service = mesh.instances.iter().filter(|instance| instance.place.service == service);
+    of_service.map(|instance| instance.upstream.ledger().runs).sum()
 }
 
 /// Makes `count` calls through one node.
 fn load(mesh: &Mesh, node: usize, count: usize, make: impl Fn(usize) -> Call) -> Told {
-    let entry = mesh.spots[node].traffic;
+    let entry = mesh.instances[node].traffic;
     mesh.runtime().block_on(async {
         let mut caller = Caller::new(entry);
         let mut told = Told::default();
@@ -345,7 +348,7 @@
 
 /// Has several callers make reads through one node at the same time.
 fn load_in_parallel(mesh: &Mesh, node: usize, callers: usize, reads: usize) -> Told {
-    let entry = mesh.spots[node].traffic;
+    let entry = mesh.instances[node].traffic;
     let tasks: Vec<_> = (0..callers)
         .map(|_| {
             mesh.runtime().spawn(async move {
@@ -369,7 +372,7 @@
 }
 
 fn load_until(mesh: &Mesh, node: usize, stop: &AtomicBool, make: impl Fn(usize) -> Call) -> Told {
-    let entry = mesh.spots[node].traffic;
+    let entry = mesh.instances[node].traffic;
     mesh.runtime().block_on(async {
         let mut caller = Caller::new(entry);
         let mut told = Told::default();
@@ -392,13 +395,13 @@
 }
 
 fn runs(mesh: &Mesh, work: &str) -> u32 {
-    mesh.spots.iter().filter_map(|s| s.upstream.ledger().begun.get(work).copied()).sum()
+    mesh.instances.iter().filter_map(|s| s.upstream.ledger().runs_by_work.get(work).copied()).sum()
 }
 
 fn at_most_once(mesh: &Mesh) -> bool {
     let mut all: HashMap<String, u32> = HashMap::new();
-    for spot in &mesh.spots {
-        for (work, count) in spot.upstream.ledger().begun {
+    for instance in &mesh.instances {
+        for (work, count) in instance.upstream.ledger().runs_by_work {
             *all.entry(work).or_default() += count;
         }
     }
@@ -406,7 +409,7 @@
 }
 
 fn status(programs: &Path, mesh: &Mesh) -> String {
-    let node = mesh.spots[1].operators.to_string();
+    let node = mesh.instances[1].operators.to_string();
     let output = ctl(programs, &["status", "--node", &node]);
     output.map(|o| String::from_utf8_lossy(&o.stdout).into_owned()).unwrap_or_default()
 }
--- a/xtask/src/experiment.rs
+++ b/xtask/src/experiment.rs
@@ -4,14 +4,14 @@
 //!
 //! A decision is tried here before it is measured on real processes: seconds in the place of
 //! minutes, and as many seeds as a difference needs. What the model leaves out is told in
-//! [`standins::served`]; a difference that shows only there must be looked for elsewhere.
+//! [`standins::queueing`]; a difference that shows only there must be looked for elsewhere.
 
 mod plot;
 mod scene;
 mod sum;
 
 use pico_args::Arguments;
-use standins::served::{Choice, Mechanism, Order, Settings, Way, play};
+use standins::queueing::{Choice, Discipline, Mechanism, Settings, Strategy, simulate};
 use std::{fs::File, io::Write, path::PathBuf};
 
 use crate::tools::{self, Failure};
@@ -25,14 +25,15 @@
 const SEEDS: u64 = 10;
 
 /// How the product decides.
-const PRODUCT: Way = Way { choice: Choice::Room, order: Order::Ranked, without: None };
+const PRODUCT: Strategy =
+    Strategy { choice: Choice::Capacity, discipline: Discipline::Ranked, without: None };
 
 /// The ways that are compared. The first is the product's.
-const WAYS: [(&str, Way); 4] = [
+const WAYS: [(&str, Strategy); 4] = [
     ("product", PRODUCT),
-    ("by-arrival", Way { order: Order::Arrival, ..PRODUCT }),
-    ("least-in-flight", Way { choice: Choice::LeastInFlight, ..PRODUCT }),
-    ("in-turn", Way { choice: Choice::InTurn, order: Order::Arrival, ..PRODUCT }),
+    ("by-arrival", Strategy { discipline: Discipline::Fifo, ..PRODUCT }),
+    ("least-in-flight", Strategy { choice: Choice::LeastInFlight, ..PRODUCT }),
+    ("in-turn", Strategy { choice: Choice::RoundRobin, discipline: Discipline::Fifo, ..PRODUCT }),
 ];
 
 /// Plays every scene with every way.
@@ -73,8 +74,8 @@
 }
 
 /// Returns the product's way, and that without the mechanism `name` or, for `all`, without each.
-fn ablation(name: &str) -> Result<Vec<(&'static str, Way)>, Failure> {
-    let off = |mechanism| Way { without: Some(mechanism), ..PRODUCT };
+fn ablation(name: &str) -> Result<Vec<(&'static str, Strategy)>, Failure> {
+    let off = |mechanism| Strategy { without: Some(mechanism), ..PRODUCT };
     let wanted = Mechanism::ALL.into_iter().filter(|(known, _)| name == "all" || *known == name);
     let mut ways = vec![("product", PRODUCT)];
     ways.extend(wanted.map(|(known, mechanism)| (known, off(mechanism))));
@@ -84,12 +85,12 @@
     Ok(ways)
 }
 
-fn compare(scenes: &[Scene], ways: &[(&'static str, Way)], seeds: u64) -> Vec<Sum> {
+fn compare(scenes: &[Scene], ways: &[(&'static str, Strategy)], seeds: u64) -> Vec<Sum> {
     let mut sums = Vec::new();
     for scene in scenes {
         for &(name, way) in ways {
-            let settings = Settings { way, ..scene.settings.clone() };
-            let reports: Vec<_> = (0..seeds).map(|seed| play(&settings, seed)).collect();
+            let settings = Settings { strategy: way, ..scene.settings.clone() };
+            let reports: Vec<_> = (0..seeds).map(|seed| simulate(&settings, seed)).collect();
             sums.push(Sum::of(scene.name, name, &reports));
         }
     }
--- a/xtask/src/experiment/scene.rs
+++ b/xtask/src/experiment/scene.rs
@@ -1,7 +1,7 @@
 //! The loads and troubles that ways are compared under.
 
 use policy::retry::Kind;
-use standins::served::{Burst, Calls, Fault, Route, Service, Settings, Trouble};
+use standins::queueing::{Burst, Degradation, Fault, Nested, Route, Service, Settings};
 use std::time::Duration;
 
 /// A day to compare ways on.
@@ -17,22 +17,22 @@
     let base = sized(nodes);
     let third = base.services[0].upstreams.div_ceil(3);
     let seconds = Duration::from_secs;
-    let fault = |trouble| Fault {
+    let fault = |degradation| Fault {
         begin: seconds(5),
         end: seconds(15),
         service: 0,
         upstreams: third,
-        trouble,
+        degradation,
     };
-    let with_fault = |trouble| Settings { faults: vec![fault(trouble)], ..base.clone() };
+    let with_fault = |degradation| Settings { faults: vec![fault(degradation)], ..base.clone() };
     let burst = Burst { begin: seconds(5), end: seconds(10), factor: 1.7 };
     vec![
         Scene { name: "calm", settings: base.clone() },
         Scene { name: "burst", settings: Settings { bursts: vec![burst], ..base.clone() } },
         Scene { name: "overload", settings: loaded(&base, 1.6) },
-        Scene { name: "slow", settings: with_fault(Trouble::Slow(5.0)) },
-        Scene { name: "failing", settings: with_fault(Trouble::Failing(0.5)) },
-        Scene { name: "silent", settings: with_fault(Trouble::Silent(0.4)) },
+        Scene { name: "slow", settings: with_fault(Degradation::Slow(5.0)) },
+        Scene { name: "failing", settings: with_fault(Degradation::Failing(0.5)) },
+        Scene { name: "silent", settings: with_fault(Degradation::LostAnswers(0.4)) },
         Scene { name: "shortage", settings: shortage(nodes) },
     ]
 }
@@ -42,45 +42,45 @@
 fn shortage(nodes: usize) -> Settings {
     let ms = Duration::from_millis;
     let factor = nodes as f64 / 12.0;
-    let service = |upstreams: f64, speeds: &[f64]| Service {
+    let service = |upstreams: f64, slowness: &[f64]| Service {
         upstreams: (upstreams * factor).ceil() as usize,
         slots: 9,
-        speeds: speeds.to_vec(),
+        slowness: slowness.to_vec(),
     };
     let base = Settings::default();
     let lookup = Route {
         per_second: 260.0 * factor,
-        work: ms(120),
+        service_time: ms(120),
         spread: 0.8,
         objective: ms(400),
         deadline: ms(1_000),
         attempts: 2,
-        calls: Some(Calls { route: 2, times: 2, share: 0.7 }),
+        nested: Some(Nested { route: 2, count: 2, probability: 0.7 }),
         ..base.routes[0].clone()
     };
     let upload = Route {
         service: 1,
         per_second: 25.5 * factor,
-        work: ms(140),
+        service_time: ms(140),
         spread: 0.3,
         objective: ms(500),
         deadline: ms(1_200),
         priority: 1,
         kind: Kind::Once,
-        worth: 2.0,
-        calls: None,
+        utility: 2.0,
+        nested: None,
         ..lookup.clone()
     };
     let check = Route {
         service: 1,
         per_second: 0.0,
-        work: ms(30),
+        service_time: ms(30),
         spread: 0.5,
         objective: ms(120),
         deadline: ms(400),
         attempts: 1,
-        worth: 0.0,
-        calls: None,
+        utility: 0.0,
+        nested: None,
         ..lookup.clone()
     };
     Settings {
--- a/xtask/src/experiment/sum.rs
+++ b/xtask/src/experiment/sum.rs
@@ -1,7 +1,7 @@
 //! Figures over several seeds.
 
 use serde_json::{Value, json};
-use standins::served::{Report, Tally};
+use standins::queueing::{Counters, Report};
 
 /// The mean of a figure and the half width of its 95% confidence interval.
 #[derive(Clone, Copy, Debug)]
@@ -32,17 +32,17 @@
 
 impl Sum {
     pub(super) fn of(scene: &'static str, way: &'static str, reports: &[Report]) -> Self {
-        let totals: Vec<Tally> = reports.iter().map(Report::total).collect();
-        let share = |pick: fn(&Tally) -> u64| {
-            figure(totals.iter().map(|t| pick(t) as f64 / t.asked.max(1) as f64).collect())
+        let totals: Vec<Counters> = reports.iter().map(Report::total).collect();
+        let share = |pick: fn(&Counters) -> u64| {
+            figure(totals.iter().map(|t| pick(t) as f64 / t.callers.max(1) as f64).collect())
         };
-        let p99 = |t: &Tally| t.quantile(0.99).map_or(f64::NAN, |time| time.as_secs_f64() * 1e3);
-        let repeats = |r: &Report| r.repeats as f64 / r.arrivals.max(1) as f64;
+        let p99 = |t: &Counters| t.quantile(0.99).map_or(f64::NAN, |time| time.as_secs_f64() * 1e3);
+        let repeats = |r: &Report| r.retries as f64 / r.arrivals.max(1) as f64;
         Sum {
             scene,
             way,
-            earned: figure(totals.iter().map(Tally::share).collect()),
-            worst: figure(reports.iter().map(Report::worst_share).collect()),
+            earned: figure(totals.iter().map(Counters::utility_share).collect()),
+            worst: figure(reports.iter().map(Report::min_utility_share).collect()),
             late: share(|t| t.late),
             refused: share(|t| t.refused),
             again: share(|t| t.refused_again),
--- a/xtask/src/soak/fatal.rs
+++ b/xtask/src/soak/fatal.rs
@@ -3,7 +3,7 @@
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
 use standins::{
     caller::{Call, Caller},
-    upstream::FATAL,
+    upstream::POISON_SUFFIX,
 };
 use std::{
     collections::BTreeMap,
@@ -74,7 +74,7 @@
     let begun = Instant::now();
     while going.load(Ordering::SeqCst) {
         let number = begun.elapsed().as_secs() / CHANGE.as_secs();
-        let path = format!("/{service}/{READS}/{number}{FATAL}");
+        let path = format!("/{service}/{READS}/{number}{POISON_SUFFIX}");
         let node = nodes[random.random_range(0..nodes.len())];
         let call = Call {
             host: Some(HOST.to_owned()),
--- a/xtask/src/soak/fault.rs
+++ b/xtask/src/soak/fault.rs
@@ -17,7 +17,7 @@
     upstream::Mode::CloseBefore,
     upstream::Mode::CloseAfter,
     upstream::Mode::Truncate,
-    upstream::Mode::Cross,
+    upstream::Mode::WrongId,
     upstream::Mode::Refuse,
 ];
 
--- a/xtask/src/soak/load.rs
+++ b/xtask/src/soak/load.rs
@@ -118,7 +118,7 @@
 fn ended(answer: &Answer, work: &str) -> End {
     match answer.outcome() {
         "answered" if answer.status == 200 => {
-            let own = answer.header(standins::caller::WORK) == work;
+            let own = answer.header(standins::caller::WORK_HEADER) == work;
             let whole = answer.body.len() == 64;
             if own && whole { End::Answered } else { End::Mixed }
         }
--- a/xtask/src/soak/site.rs
+++ b/xtask/src/soak/site.rs
@@ -94,12 +94,12 @@
         let spots = self.spots.iter_mut().filter(|spot| spot.data_centre == data_centre);
         match evacuation {
             Evacuation::Ordered => {
-                self.platform.order(data_centre, evacuation);
+                self.platform.set_evacuation(data_centre, evacuation);
                 spots.for_each(|spot| spot.history.begin(Trouble::Evacuated));
             }
             Evacuation::Withdrawn => {
                 spots.for_each(|spot| spot.history.end(Trouble::Evacuated));
-                self.platform.order(data_centre, evacuation);
+                self.platform.set_evacuation(data_centre, evacuation);
             }
         }
     }
--- a/xtask/src/soak/spot.rs
+++ b/xtask/src/soak/spot.rs
@@ -189,13 +189,13 @@
     /// Returns the requests that end upstreams, as they came to its upstream: when they were begun, and what
     /// tells them apart.
     pub(crate) fn fatal(&self) -> Vec<(Instant, String)> {
-        let runs = self.processes().flat_map(|upstream| upstream.ledger().fatal);
+        let runs = self.processes().flat_map(|upstream| upstream.ledger().poison_requests);
         runs.map(|(at, path)| (at, format!("{} {path}", self.service))).collect()
     }
 
     /// Tells whether its upstream ended under a request within the time given.
     pub(crate) fn fell(&self, from: Instant, until: Instant) -> bool {
-        let mut falls = self.processes().flat_map(|upstream| upstream.ledger().ends);
+        let mut falls = self.processes().flat_map(|upstream| upstream.ledger().crashes);
         falls.any(|at| (from..=until).contains(&at))
     }
 
@@ -266,8 +266,12 @@
 }
 
 fn start_upstream(listen: SocketAddr, handle: &Handle) -> io::Result<Upstream> {
-    let settings =
-        upstream::Settings { listen, work: WORK, slots: SLOTS, ..upstream::Settings::default() };
+    let settings = upstream::Settings {
+        listen,
+        service_time: WORK,
+        slots: SLOTS,
+        ..upstream::Settings::default()
+    };
     Upstream::start(settings, handle)
 }
 
