--- a/crates/standins/src/caller.rs
+++ b/crates/standins/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller: a shop terminal, a chef's tablet, or an upstream that calls another service.
+//! HTTP/1.1 client that sends calls to a node over one persistent connection.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -10,28 +10,28 @@
 use std::{io, net::SocketAddr};
 use tokio::net::TcpStream;
 
-/// Header by which callers name a piece of work in an upstream's ledger.
+/// Request header with the work id under which an upstream's ledger records the request.
 pub const WORK_HEADER: &str = "x-work";
 
-/// A call to make.
+/// A request to send.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Path, which names the service.
+    /// Request path; its first segment is the service or route.
     pub path: String,
-    /// Host that is called; the node's address if none is given.
+    /// `host` header; the node's address if `None`.
     pub host: Option<String>,
-    /// Time for the call, in ms.
+    /// Value of `baobab-deadline-ms`, in ms; no header if `None`.
     pub deadline_ms: Option<u64>,
-    /// Name of the work in the upstream's ledger.
+    /// Work id, sent as [`WORK_HEADER`].
     pub work: Option<String>,
-    /// Body.
+    /// Request body.
     pub body: Bytes,
 }
 
 impl Call {
-    /// Returns a read of `path`.
+    /// Returns a GET of `path` without body, deadline or work id.
     pub fn get(path: &str) -> Self {
         Call {
             method: Method::GET,
@@ -43,53 +43,53 @@
         }
     }
 
-    /// Returns a non-idempotent post to `path` that the ledger will know as `work`.
+    /// Returns a POST to `path`, which is not idempotent, with the work id `work`.
     pub fn post(path: &str, work: &str) -> Self {
         let work = Some(work.to_owned());
         Call { method: Method::POST, work, body: Bytes::from_static(b"{}"), ..Call::get(path) }
     }
 }
 
-/// An answer received whole.
+/// A complete response.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Headers.
+    /// Response headers.
     pub headers: HeaderMap,
-    /// Body.
+    /// Response body.
     pub body: Bytes,
 }
 
 impl Answer {
-    /// Returns the text of a header, empty where it is absent.
+    /// Returns a header's value, or an empty string if it is absent or not visible ASCII.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).and_then(|v| v.to_str().ok()).unwrap_or("")
     }
 
-    /// Returns the outcome that the node told.
+    /// Returns the outcome that the node reported in `baobab-outcome`.
     pub fn outcome(&self) -> &str {
         self.header("baobab-outcome")
     }
 }
 
-/// A kept connection to a node, one call at a time.
+/// A client with one persistent connection to a node and at most one call in flight.
 pub struct Caller {
     address: SocketAddr,
     sender: Option<SendRequest<Full<Bytes>>>,
 }
 
 impl Caller {
-    /// Creates a caller of the node at `address`; it connects with the first call.
+    /// Creates a client of the node at `address`; it connects at the first call.
     pub fn new(address: SocketAddr) -> Self {
         Caller { address, sender: None }
     }
 
-    /// Makes a call. After an error, the next call uses a new connection.
+    /// Sends a call and waits for the answer. After an error, the next call opens a new connection.
     ///
-    /// The kind of an error tells how far the call came: `Other` where the connection ended before
-    /// an answer began, `UnexpectedEof` where it ended within one, anything else where no connection
-    /// could be opened.
+    /// The error's kind tells how far the call got: `Other` if the connection closed before the
+    /// response head, `UnexpectedEof` if it closed within the body, and any other kind if connecting
+    /// failed.
     pub async fn call(&mut self, call: &Call) -> io::Result<Answer> {
         let mut sender = match self.sender.take() {
             Some(sender) if !sender.is_closed() => sender,
@@ -102,7 +102,7 @@
     }
 }
 
-/// Makes one read on a connection of its own.
+/// Sends one GET over a new connection.
 pub async fn get_once(
     address: SocketAddr,
     path: &str,
@@ -118,7 +118,7 @@
     let (sender, driver) =
         http1::handshake(TokioIo::new(stream)).await.map_err(io::Error::other)?;
     tokio::spawn(async move {
-        // The caller learns of an error from its call.
+        // `send_request` returns the same error.
         let _ = driver.await;
     });
     Ok(sender)
@@ -143,7 +143,7 @@
     let request = request.body(Full::new(call.body.clone())).map_err(io::Error::other)?;
     let response = sender.send_request(request).await.map_err(io::Error::other)?;
     let (parts, body) = response.into_parts();
-    let cut = |error| io::Error::new(io::ErrorKind::UnexpectedEof, error);
-    let body = body.collect().await.map_err(cut)?.to_bytes();
+    let truncated = |error| io::Error::new(io::ErrorKind::UnexpectedEof, error);
+    let body = body.collect().await.map_err(truncated)?.to_bytes();
     Ok(Answer { status: parts.status.as_u16(), headers: parts.headers, body })
 }
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,8 +1,7 @@
-//! Small stand-ins for the systems around a node: the platform, upstreams and callers.
+//! Test doubles for the systems around a node: the platform, upstreams and callers.
 //!
-//! They exist for tests, the demo and the bench only; the product never depends on them. Each can
-//! be told to misbehave, and each keeps its own record of what really happened, which is the
-//! oracle of the tests.
+//! For tests, the demo and benchmarks only. Each double can inject faults and records what it
+//! actually did, so that tests can check a node's answers against that record.
 
 pub mod caller;
 pub mod mesh;
--- a/crates/standins/src/mesh.rs
+++ b/crates/standins/src/mesh.rs
@@ -1,4 +1,4 @@
-//! A whole mesh on loopback: one platform, upstreams, and a real node process beside each.
+//! A mesh on loopback: one platform, upstreams, and a node process for each upstream.
 
 use fleet::source;
 use rustix::process::{Pid, Signal, kill_process};
@@ -20,24 +20,24 @@
     upstream::{self, Upstream},
 };
 
-/// Time between two looks at something that is waited for.
+/// Interval at which `wait` functions check their condition.
 const POLL: Duration = Duration::from_millis(5);
 
-/// Nodes per data centre that every node is told of in its settings.
+/// Seed nodes per data centre in every node's settings.
 const SEEDS_PER_DATA_CENTRE: usize = 2;
 
-/// What a mesh consists of.
+/// Settings of a [`Mesh`].
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Path of the daemon's program.
+    /// Path of the node's executable.
     pub daemon: PathBuf,
-    /// Instances, in order.
+    /// Service and data centre of each instance, by instance number.
     pub instances: Vec<Place>,
-    /// How each upstream begins; its address is chosen here.
+    /// Settings of every upstream.
     pub upstream: upstream::Settings,
-    /// Threads of each node that carry calls.
+    /// Value of `traffic_threads` in every node's settings.
     pub traffic_threads: usize,
-    /// How nodes pass on versions, as their settings name it.
+    /// Value of `plan` in every node's settings: how versions are disseminated.
     pub plan: &'static str,
 }
 
@@ -53,16 +53,16 @@
     }
 }
 
-/// Where an instance runs.
+/// Service and data centre of an instance.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Place {
-    /// Its service.
+    /// Service name.
     pub service: String,
-    /// Its data centre.
+    /// Data centre name.
     pub data_centre: String,
 }
 
-/// Lists `count` instances of each service in each data centre.
+/// Returns `count` places for each service in each data centre.
 pub fn places(services: &[&str], data_centres: &[&str], count: usize) -> Vec<Place> {
     let mut places = Vec::new();
     for data_centre in data_centres {
@@ -75,30 +75,30 @@
     places
 }
 
-/// One instance: an upstream and the node beside it.
+/// One instance: an upstream and its colocated node.
 pub struct Instance {
-    /// The platform's name of it.
+    /// Instance name, as the platform lists it.
     pub name: String,
-    /// Where it runs.
+    /// Service and data centre.
     pub place: Place,
-    /// Address for calls.
+    /// Node's listen address for callers.
     pub traffic: SocketAddr,
-    /// Address for messages between nodes.
+    /// Node's listen address for other nodes.
     pub peers: SocketAddr,
-    /// Address of the operators' page.
+    /// Node's listen address for operators: status pages and metrics.
     pub operators: SocketAddr,
-    /// The upstream.
+    /// Upstream, which runs in this process.
     pub upstream: Upstream,
     settings: PathBuf,
     process: Option<Child>,
     _reserved: Vec<Socket>,
 }
 
-/// A running mesh; everything ends when it is dropped.
+/// A running mesh; dropping it kills the node processes and stops the upstreams.
 pub struct Mesh {
-    /// The platform.
+    /// Platform that all nodes read.
     pub platform: Platform,
-    /// The instances.
+    /// Instances, in the order of [`Settings::instances`].
     pub instances: Vec<Instance>,
     daemon: PathBuf,
     folder: TempDir,
@@ -106,7 +106,7 @@
 }
 
 impl Mesh {
-    /// Starts platform and upstreams and writes the nodes' settings; no node runs yet.
+    /// Starts the platform and the upstreams and writes the nodes' settings, but starts no node.
     pub fn prepare(settings: &Settings) -> io::Result<Self> {
         let runtime = Builder::new_multi_thread()
             .worker_threads(4)
@@ -141,7 +141,7 @@
         Ok(mesh)
     }
 
-    /// Starts everything.
+    /// Prepares a mesh and starts every node.
     pub fn start(settings: &Settings) -> io::Result<Self> {
         let mut mesh = Mesh::prepare(settings)?;
         for number in 0..mesh.instances.len() {
@@ -150,7 +150,7 @@
         Ok(mesh)
     }
 
-    /// Returns the list of all instances as live.
+    /// Returns the platform's list of all instances, none of them leaving.
     pub fn listing(&self) -> Vec<source::Instance> {
         let entry = |instance: &Instance| source::Instance {
             instance: instance.name.clone(),
@@ -160,17 +160,17 @@
         self.instances.iter().map(entry).collect()
     }
 
-    /// Returns a handle of the runtime on which the stand-ins run.
+    /// Returns the runtime of the upstreams.
     pub fn runtime(&self) -> &Runtime {
         &self.runtime
     }
 
-    /// Returns the folder of the nodes' settings and logs.
+    /// Returns the directory with the nodes' settings and logs.
     pub fn folder(&self) -> &Path {
         self.folder.path()
     }
 
-    /// Starts the process of one node, which logs into the mesh's folder.
+    /// Starts a node's process; its output goes to `<name>.log` in [`Mesh::folder`].
     pub fn start_node(&mut self, number: usize) -> io::Result<()> {
         let instance = &mut self.instances[number];
         let log = self.folder.path().join(format!("{}.log", instance.name));
@@ -178,17 +178,18 @@
         Ok(())
     }
 
-    /// Kills the process of one node without warning.
+    /// Kills a node's process with SIGKILL.
     pub fn kill_node(&mut self, number: usize) -> io::Result<()> {
         kill(&mut self.instances[number].process)
     }
 
-    /// Sends a signal to the process of one node.
+    /// Sends a signal to a node's process.
     pub fn signal_node(&self, number: usize, signal: Signal) -> io::Result<()> {
         send_signal(self.instances[number].process.as_ref(), signal)
     }
 
-    /// Asks one node to stop in an orderly way and returns its exit status.
+    /// Stops a node with SIGTERM and returns its exit code, `None` if it did not run or was killed
+    /// by a signal.
     pub fn stop_node(&mut self, number: usize) -> io::Result<Option<i32>> {
         self.signal_node(number, Signal::TERM)?;
         match self.instances[number].process.take() {
@@ -197,24 +198,24 @@
         }
     }
 
-    /// Returns the process number of one node, if it runs.
+    /// Returns a node's process id, if it was started and neither stopped nor killed.
     pub fn pid(&self, number: usize) -> Option<u32> {
         self.instances[number].process.as_ref().map(Child::id)
     }
 
-    /// Returns the body of a page of one node's operators' server.
+    /// Returns the body of a page of a node's operators' listener.
     pub fn page(&self, number: usize, path: &str) -> Option<String> {
         page(self.instances[number].operators, path)
     }
 
-    /// Returns the revision in force at one node.
+    /// Returns the revision in force at a node, `None` if it does not answer.
     pub fn revision(&self, number: usize) -> Option<u64> {
         let status: fleet::status::Node =
             serde_json::from_str(&self.page(number, "/status")?).ok()?;
         Some(status.version.revision)
     }
 
-    /// Waits until `done`, and returns how long that took, or nothing after `limit`.
+    /// Waits until `done` returns true, and returns the time this took, or `None` after `limit`.
     pub fn wait(&self, limit: Duration, done: impl Fn(&Mesh) -> bool) -> Option<Duration> {
         let started = Instant::now();
         while started.elapsed() < limit {
@@ -226,7 +227,7 @@
         None
     }
 
-    /// Waits until `revision` is in force at every running node that answers or should.
+    /// Waits until `revision` or a later one is in force at every started node.
     pub fn wait_in_force(&self, revision: u64, limit: Duration) -> Option<Duration> {
         self.wait(limit, |mesh| {
             (0..mesh.instances.len())
@@ -235,7 +236,8 @@
         })
     }
 
-    /// Waits until every running node knows `count` upstreams of `service` that take work.
+    /// Waits until every started node knows exactly `count` upstreams of `service` that accept
+    /// calls.
     pub fn wait_upstreams(&self, service: &str, count: usize, limit: Duration) -> Option<Duration> {
         let knows = |mesh: &Mesh, number: usize| {
             let text = mesh.page(number, "/status")?;
@@ -254,9 +256,12 @@
     fn write_settings(&self, settings: &Settings) -> io::Result<()> {
         let mut seeds = Vec::new();
         for instance in &self.instances {
-            let same = |other: &&&Instance| other.place.data_centre == instance.place.data_centre;
-            let first = self.instances.iter().take_while(|s| s.peers != instance.peers);
-            if first.collect::<Vec<_>>().iter().filter(same).count() < SEEDS_PER_DATA_CENTRE {
+            let is_same_data_centre =
+                |other: &&&Instance| other.place.data_centre == instance.place.data_centre;
+            let previous = self.instances.iter().take_while(|s| s.peers != instance.peers);
+            if previous.collect::<Vec<_>>().iter().filter(is_same_data_centre).count()
+                < SEEDS_PER_DATA_CENTRE
+            {
                 seeds.push(instance.peers.to_string());
             }
         }
@@ -288,13 +293,13 @@
 impl Drop for Mesh {
     fn drop(&mut self) {
         for number in 0..self.instances.len() {
-            // The process may have ended by itself.
+            // The process may have exited already.
             let _ = self.kill_node(number);
         }
     }
 }
 
-/// Starts the program `daemon` as a node that adds all its output to the file `log`.
+/// Starts the executable `daemon` as a node whose output is appended to the file `log`.
 pub fn spawn(daemon: &Path, settings: &Path, log: &Path) -> io::Result<Child> {
     let log = File::options().create(true).append(true).open(log)?;
     Command::new(daemon)
@@ -306,7 +311,7 @@
         .spawn()
 }
 
-/// Kills a process without warning, if there is one, and waits until it is gone.
+/// Kills a process with SIGKILL, if there is one, and reaps it.
 pub fn kill(process: &mut Option<Child>) -> io::Result<()> {
     if let Some(mut child) = process.take() {
         child.kill()?;
@@ -321,29 +326,28 @@
     kill_process(Pid::from_child(child), signal).map_err(io::Error::from)
 }
 
-/// Returns the body of a page at `address`; nothing unless its status is 200.
+/// Returns the body of a page at `address`, or `None` unless its status is 200.
 pub fn page(address: SocketAddr, path: &str) -> Option<String> {
     use io::{Read, Write};
     let mut stream = std::net::TcpStream::connect_timeout(&address, Duration::from_secs(1)).ok()?;
     stream.set_read_timeout(Some(Duration::from_secs(10))).ok()?;
     write!(stream, "GET {path} HTTP/1.0\r\nhost: {address}\r\n\r\n").ok()?;
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).ok()?;
-    let (head, body) = answer.split_once("\r\n\r\n")?;
+    let mut response = String::new();
+    stream.read_to_string(&mut response).ok()?;
+    let (head, body) = response.split_once("\r\n\r\n")?;
     head.split(' ').nth(1).filter(|status| *status == "200")?;
     Some(body.to_owned())
 }
 
-/// Reserves a free address for a process that is started later.
+/// Reserves a free port for a process that is started later.
 ///
-/// The socket is bound and never listens: the process may bind the same address, since both allow
-/// reuse, but the system gives it to nobody else. Without that, an outgoing connection of some
-/// other process takes the port now and then, and the node cannot start.
+/// The socket is bound but never listens: the process can bind the same address, since both set
+/// `SO_REUSEADDR`, and the kernel doesn't assign the port to an outgoing connection.
 fn reserve() -> io::Result<(Socket, SocketAddr)> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())?;
     let address = socket.local_addr()?.as_socket();
-    let address = address.ok_or_else(|| io::Error::other("the socket has no IP address"))?;
+    let address = address.ok_or_else(|| io::Error::other("reserved socket has no IP address"))?;
     Ok((socket, address))
 }
--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -1,4 +1,4 @@
-//! A platform: documents under one rising revision, a pending_listings list of instances, a limit of reads.
+//! In-process platform over HTTP: versioned documents, a delayed list of instances, a read limit.
 
 use fleet::{
     directory::{Entry, Removal, Update},
@@ -16,33 +16,33 @@
 };
 use tiny_http::{Header, Request, Response, Server};
 
-/// Reads a second that the platform serves, a waiting watch counted as one.
+/// Reads per second that the platform answers; more are rejected with 429. A watch counts as one.
 pub const READS_PER_SECOND: usize = 2_000;
 
-/// How often waiting watches are looked at.
+/// Interval at which waiting watches are checked.
 const POLL: Duration = Duration::from_millis(5);
 
-/// Threads that take requests.
+/// Threads that handle requests.
 const WORKERS: usize = 4;
 
-/// Header that names the reader.
+/// Request header with the name of the reading node.
 const READER: &str = "baobab-reader";
 
 /// How the platform behaves.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Mode {
-    /// It answers in milliseconds.
+    /// Answers within milliseconds.
     #[default]
     Normal,
-    /// It refuses connections in effect: every call ends with an error at once.
+    /// Answers every request with status 500 at once.
     Down,
-    /// It serves the revision at which it was frozen.
+    /// Serves the configuration of the moment at which this mode was set.
     Stale,
-    /// It answers late.
+    /// Answers after this delay.
     Slow(Duration),
 }
 
-/// A running stand-in; clones share it.
+/// Handle to a running platform; clones share its state.
 #[derive(Clone)]
 pub struct Platform {
     address: SocketAddr,
@@ -54,13 +54,13 @@
     set: Set,
     stale: Set,
     history: Vec<Set>,
-    /// Upstreams with the revision of their last write; none once they are removed.
+    /// Upstreams by id, with the revision of their last write; the entry is `None` after removal.
     upstreams: BTreeMap<String, (u64, Option<Entry>)>,
-    /// The latest orders to evacuate data centres.
+    /// Latest evacuation order by data centre.
     orders: BTreeMap<String, Order>,
-    /// Revision of configuration and upstreams together.
+    /// Revision shared by configuration, upstreams and orders.
     revision: u64,
-    /// Revision at which the configuration was last written.
+    /// Value of `revision` at the last write of the configuration.
     config_revision: u64,
     listing: Listing,
     visible: Listing,
@@ -74,14 +74,14 @@
     waiting: Vec<Watch>,
 }
 
-/// A call that waits for news.
+/// A long poll that waits for a change or its timeout.
 struct Watch {
     request: Request,
     query: Query,
     until: Instant,
 }
 
-/// A parsed call.
+/// A parsed request.
 #[derive(Clone, Copy, Debug)]
 struct Query {
     topic: Topic,
@@ -89,7 +89,7 @@
     after: u64,
 }
 
-/// What a call asks for.
+/// The resource that a request reads.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Topic {
     Config,
@@ -98,10 +98,10 @@
 }
 
 impl Platform {
-    /// Starts a platform without documents or instances on a free loopback port.
+    /// Starts a platform with no documents and no instances on a free loopback port.
     pub fn start() -> io::Result<Self> {
         let server = Server::http("127.0.0.1:0").map_err(io::Error::other)?;
-        let address = server.server_addr().to_ip().expect("the server listens at an IP address");
+        let address = server.server_addr().to_ip().expect("the server listens on an IP address");
         let state = State {
             mode: Mode::Normal,
             set: Set::default(),
@@ -142,12 +142,12 @@
         Ok(platform)
     }
 
-    /// Returns the address it listens at.
+    /// Returns the listen address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Writes documents under one new revision, which is returned; no text removes a document.
+    /// Writes documents in one new revision, which is returned; a text of `None` removes a document.
     pub fn publish(&self, documents: &[(&str, Option<&str>)]) -> u64 {
         let mut state = self.lock();
         let revision = state.set.version().revision + 1;
@@ -155,7 +155,10 @@
         for (key, text) in documents {
             match text {
                 Some(text) => {
-                    assert!(text.len() <= MAX_DOCUMENT_BYTES, "the platform holds no such value");
+                    assert!(
+                        text.len() <= MAX_DOCUMENT_BYTES,
+                        "document {key:?} exceeds {MAX_DOCUMENT_BYTES} bytes"
+                    );
                     let key = (*key).to_owned();
                     delta.documents.push(Document {
                         key,
@@ -176,8 +179,8 @@
         revision
     }
 
-    /// Writes an upstream's entry, or removes it; returns the revision of configuration and
-    /// upstreams together.
+    /// Writes an upstream's entry, or removes it if `None`; returns the new shared revision of
+    /// configuration and upstreams.
     pub fn register(&self, id: &str, entry: Option<Entry>) -> u64 {
         let mut state = self.lock();
         state.revision += 1;
@@ -187,7 +190,7 @@
         revision
     }
 
-    /// Has a data centre evacuated, or takes it back.
+    /// Orders a data centre's evacuation, or withdraws the order.
     pub fn set_evacuation(&self, data_centre: &str, evacuation: Evacuation) {
         let mut state = self.lock();
         state.revision += 1;
@@ -199,7 +202,7 @@
         state.orders.insert(data_centre.to_owned(), order);
     }
 
-    /// Changes how the platform behaves.
+    /// Sets how the platform answers from now on.
     pub fn set_mode(&self, mode: Mode) {
         let mut state = self.lock();
         if mode == Mode::Stale && state.mode != Mode::Stale {
@@ -208,7 +211,7 @@
         state.mode = mode;
     }
 
-    /// Serves revision `revision` as if it were the newest, as a pending_listings replica would.
+    /// Serves `revision` as the newest, as a lagging replica would; an unknown revision is empty.
     pub fn set_stale_at(&self, revision: u64) {
         let mut state = self.lock();
         let old = state.history.iter().find(|s| s.version().revision == revision).cloned();
@@ -216,7 +219,7 @@
         state.mode = Mode::Stale;
     }
 
-    /// Lists exactly these instances, visible to readers after the lag of the list.
+    /// Replaces the list of instances; readers see the change after the list's lag.
     pub fn set_instances(&self, instances: Vec<Instance>) {
         let mut state = self.lock();
         let revision = state.listing.revision + 1;
@@ -226,12 +229,12 @@
         state.pending_listings.push_back((visible_at, listing));
     }
 
-    /// Sets how long changes of the list stay invisible.
+    /// Sets the delay until readers see changes of the list.
     pub fn set_list_lag(&self, lag: Duration) {
         self.lock().list_lag = lag;
     }
 
-    /// Cuts `reader` off, or lets it in again.
+    /// Blocks or allows requests of the node `reader`.
     pub fn set_access(&self, reader: &str, access: Access) {
         let mut state = self.lock();
         match access {
@@ -240,17 +243,17 @@
         };
     }
 
-    /// Returns the reads so far, those refused for the limit included.
+    /// Returns the number of reads so far, including those rejected by the limit.
     pub fn reads(&self) -> u64 {
         self.lock().reads_total
     }
 
-    /// Returns the largest number of reads within one second, and begins to look for it anew.
+    /// Returns the peak of reads within one second and resets it.
     pub fn take_peak(&self) -> usize {
         std::mem::take(&mut self.lock().reads_peak)
     }
 
-    /// Returns the reads that were refused for the limit.
+    /// Returns the number of reads that the limit rejected.
     pub fn refused(&self) -> u64 {
         self.lock().refused
     }
@@ -292,12 +295,13 @@
         state.waiting.push(Watch { request, query, until });
     }
 
-    /// Answers the watches that have news or whose time is over.
+    /// Answers the watches that have changes or have timed out.
     fn answer_due(&self) {
         let mut state = self.lock();
         let now = Instant::now();
         while state.pending_listings.front().is_some_and(|(visible_at, _)| *visible_at <= now) {
-            let (_, listing) = state.pending_listings.pop_front().expect("the queue has a front");
+            let (_, listing) =
+                state.pending_listings.pop_front().expect("the front was checked above");
             state.visible = listing;
         }
         let waiting = std::mem::take(&mut state.waiting);
@@ -326,32 +330,32 @@
     }
 }
 
-/// What operators want of a data centre.
+/// State of a data centre's evacuation order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Evacuation {
-    /// Nothing more is to be sent there.
+    /// Nodes must send no new calls there.
     Ordered,
-    /// Work may go there again.
+    /// Nodes may send calls there again.
     Withdrawn,
 }
 
-/// Whether a reader is cut off.
+/// Whether the platform answers a reader.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Access {
-    /// Every call of it fails.
+    /// Its requests are answered with status 500.
     Blocked,
-    /// It is served.
+    /// Its requests are answered as usual.
     Allowed,
 }
 
-/// What a call is answered with.
+/// Response to a valid request.
 enum Answer {
     Body(String),
     NoChange(u64),
 }
 
 impl State {
-    /// Counts a read; returns whether it is within the limit.
+    /// Counts a read and returns whether it is within the limit.
     fn count_read(&mut self) -> bool {
         let now = Instant::now();
         while self.reads.front().is_some_and(|&at| now.duration_since(at) > Duration::from_secs(1))
@@ -382,7 +386,7 @@
         }
     }
 
-    /// Returns what was written after `after`; all where that is 0.
+    /// Returns everything written after revision `after`, or the full state if that is 0.
     fn changeset(&self, after: u64) -> Changeset {
         let base = Some(after).filter(|&after| after > 0);
         let list = Update { revision: self.revision, base, ..Update::default() };
@@ -417,17 +421,17 @@
             Topic::Instances => serde_json::to_string(&self.visible),
             Topic::Changes => serde_json::to_string(&self.changeset(query.after)),
         };
-        Answer::Body(text.expect("the answer is made of plain data"))
+        Answer::Body(text.expect("plain data serializes to JSON"))
     }
 }
 
 fn respond(request: Request, answer: Answer) {
-    // The reader may have gone away.
+    // The reader may have closed the connection.
     let _ = match answer {
         Answer::Body(text) => request.respond(Response::from_string(text)),
         Answer::NoChange(revision) => {
             let header = Header::from_bytes("platform-revision", revision.to_string());
-            let header = header.expect("the header is made of constants and a number");
+            let header = header.expect("a constant name and a number are a valid header");
             request.respond(Response::empty(204).with_header(header))
         }
     };
--- a/crates/standins/src/script.rs
+++ b/crates/standins/src/script.rs
@@ -1,8 +1,8 @@
-//! Random scripts of faults and operators' actions, run against the in-memory ports.
+//! Random sequences of faults and operator actions, run on the simulation.
 //!
-//! The oracle is simple: at no step may a node go back, hold part of a version or one that nobody
-//! published; and once the last fault is healed, every node must have the newest acceptable
-//! version in force, and believe every other working node to take work, within [`CONVERGENCE_LIMIT`].
+//! Checked after each action: no node goes back to an older version, or applies a partial or
+//! unpublished one. Checked within [`CONVERGENCE_LIMIT`] of the last fault: every node has the
+//! newest valid version in force and sees every other running node as accepting calls.
 
 use quickcheck::{Arbitrary, Gen};
 use std::time::Duration;
@@ -12,56 +12,56 @@
     simulation::{Net, Options, Source, address},
 };
 
-/// Time within which everything must be well after the last fault.
+/// Time after the last fault within which all nodes must converge.
 ///
-/// It is the longest back-off from the platform (30 s) plus a watch (8 s) and a few probes.
+/// The longest backoff from the platform (30 s), plus a watch (8 s) and a few probes.
 pub const CONVERGENCE_LIMIT: Duration = Duration::from_secs(45);
 
-/// Nodes of a scripted net.
+/// Nodes of the simulation.
 const NODES: usize = 6;
 
 /// One action of a script; node numbers are taken modulo the number of nodes.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Action {
-    /// Publishes an acceptable revision.
+    /// Publishes a valid revision.
     Publish(u8),
-    /// Publishes a revision that is not acceptable.
+    /// Publishes an invalid revision, then a valid one.
     PublishInvalid(u8),
-    /// Publishes a service before the profile that it names, and the profile after a while.
+    /// Publishes a service before the profile that it refers to, and the profile after so many ms.
     PublishOutOfOrder(u8, u16),
-    /// Removes a document that nothing refers to.
+    /// Removes a profile that no service refers to.
     Remove(u8),
-    /// Kills a node.
+    /// Kills a node; nothing restarts it before the script ends.
     Kill(u8),
-    /// Starts a new life of a node.
+    /// Kills a node and starts a new incarnation.
     Restart(u8),
     /// Restarts every node at once.
     RestartAll,
-    /// Stops a node in an orderly way and starts it anew.
+    /// Stops a node gracefully and starts a new incarnation.
     Replace(u8),
-    /// Freezes a node for so many ms.
+    /// Pauses a node for so many ms.
     Pause(u8, u16),
-    /// Separates a node from the others.
+    /// Moves a node into a network partition of its own.
     Partition(u8),
-    /// Separates two halves.
+    /// Splits the network into two halves.
     Split,
-    /// Ends every separation.
+    /// Heals every network partition.
     HealPartitions,
-    /// Cuts a node off from the platform.
+    /// Blocks a node's access to the platform.
     BlockSource(u8),
-    /// The platform does not answer.
+    /// The platform becomes unreachable.
     SourceDown,
-    /// The platform serves an old revision from now on.
+    /// The platform serves the present revision as the newest from now on.
     SourceStale,
-    /// The platform answers late.
+    /// The platform answers with a delay.
     SourceSlow,
-    /// The platform answers.
+    /// The platform answers normally.
     SourceUp,
-    /// So many per cent of messages are lost.
+    /// Sets the share of lost messages, in %.
     Loss(u8),
-    /// So many per cent of messages arrive twice, the second time late.
+    /// Sets the share of messages delivered a second time later, in %.
     Duplication(u8),
-    /// Time passes, in ms.
+    /// Lets so many ms of virtual time pass.
     Wait(u16),
 }
 
@@ -104,7 +104,7 @@
     }
 }
 
-/// Runs a script and returns what did not hold.
+/// Runs a script; the error describes the first violated invariant or the missing convergence.
 pub fn run(actions: &[Action], seed: u64) -> Result<(), String> {
     let mut net = Net::new(Options { nodes: NODES, seed, ..Options::default() });
     net.publish("profiles/base", Some("{}"));
@@ -164,7 +164,7 @@
     }
 }
 
-/// Ends every fault; dead nodes are started, as the platform replaces instances.
+/// Ends every fault and restarts dead nodes.
 fn heal(net: &mut Net) {
     net.heal_partitions();
     net.unblock_sources();
@@ -177,21 +177,21 @@
     }
 }
 
-/// Returns what has been broken so far.
+/// Returns an error for the first invariant violated so far.
 fn check_invariants(net: &Net) -> Result<(), String> {
     if net.peak_reads > READS_PER_SECOND {
-        return Err(format!("{} reads within one second", net.peak_reads));
+        return Err(format!("{} reads of the platform within one second", net.peak_reads));
     }
     net.violations.first().map_or(Ok(()), |violation| Err(violation.clone()))
 }
 
-/// Returns what is not well although every fault is healed.
+/// Returns an error unless all nodes have the newest valid version and see each other.
 fn check_converged(net: &Net) -> Result<(), String> {
     let newest = net.newest_valid();
     for node in 0..net.len() {
         let version = net.version(node);
         if version.revision != newest {
-            return Err(format!("node {node} holds {version} and not revision {newest}"));
+            return Err(format!("node {node} has {version} in force instead of revision {newest}"));
         }
         let Some(control) = net.control(node) else { continue };
         for peer in (0..net.len()).filter(|&peer| net.is_working(peer)) {
@@ -200,7 +200,9 @@
             let is_known =
                 record.is_some_and(|r| r.state.takes_work() && Some(r.incarnation) == incarnation);
             if !is_known {
-                return Err(format!("node {node} holds node {peer} for {record:?}"));
+                return Err(format!(
+                    "node {node} has record {record:?} of the running node {peer}"
+                ));
             }
         }
     }
--- a/crates/standins/src/simulation.rs
+++ b/crates/standins/src/simulation.rs
@@ -1,8 +1,8 @@
-//! In-memory ports for [`fleet::control::Control`]: messages and platform on a virtual clock.
+//! Deterministic simulation of [`fleet::control::Control`] nodes, their network and the platform.
 //!
-//! It counts messages and bytes and checks, at every step, what must always hold. It knows no
-//! machines: a node is a state machine, a message takes a fixed time and is lost or duplicated as
-//! told.
+//! Time is virtual and all randomness is seeded. The network has a fixed latency and configurable
+//! loss, duplication and partitions. Messages and bytes are counted, and invariants are checked
+//! whenever a version comes into force.
 
 mod delivery;
 mod queue;
@@ -28,43 +28,44 @@
 
 use self::queue::{Item, Queue};
 
-/// Time between two ticks of a node.
+/// Interval between ticks of a node.
 const TICK: Duration = Duration::from_millis(50);
 
-/// Virtual wall clock at the start, in ms since the Unix epoch.
+/// Wall clock at virtual time zero, in ms since the Unix epoch.
 const EPOCH_MS: u64 = 1_800_000_000_000;
 
-/// Time from a node's death to the next incarnation at its address, at least; lives differ by wall clock.
+/// Minimum wall-clock difference between incarnations at one address, which keeps them distinct.
 const INCARNATION_GAP: Duration = Duration::from_millis(2);
 
-/// How the platform behaves.
+/// State of the platform.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Source {
-    /// It answers.
+    /// Answers.
     Up,
-    /// It does not.
+    /// Unreachable.
     Down,
-    /// It serves the revision that was newest when it became stale.
+    /// Serves the revision that was newest when this state was set.
     Stale,
-    /// It answers after this time.
+    /// Answers after this delay.
     Slow(Duration),
 }
 
 /// Settings of a [`Net`].
 pub struct Options {
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Data centres, over which the nodes are spread evenly.
+    /// Number of data centres; nodes are assigned round-robin.
     pub data_centres: usize,
-    /// Services, over which the nodes are spread evenly.
+    /// Number of services; nodes are assigned round-robin.
     pub services: usize,
-    /// Time that a message takes.
+    /// One-way delay of every message.
     pub latency: Duration,
-    /// Creates the plan of each node.
+    /// Creates the dissemination strategy of each node.
     pub dissemination: fn() -> Box<dyn dissemination::Strategy>,
-    /// Nodes that each node is told of when it starts; 0 leaves only the platform's list.
+    /// Number of seed nodes in each node's settings; with 0, nodes find peers only by the platform's
+    /// list.
     pub seeds: usize,
-    /// Seed of everything random.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
@@ -82,7 +83,7 @@
     }
 }
 
-/// One node.
+/// State of one simulated node; `control` is `None` while it is dead.
 struct Node {
     control: Option<Control>,
     incarnation: u64,
@@ -94,18 +95,18 @@
     deferred: Vec<Item>,
 }
 
-/// What was counted.
+/// Counters of traffic.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Counts {
-    /// Messages between nodes, answers included.
+    /// Messages between nodes, including responses.
     pub messages: u64,
-    /// Bytes of those.
+    /// Bytes of these messages, with estimated HTTP headers.
     pub bytes: u64,
-    /// Reads of the platform.
+    /// Reads of the platform, including those that fail.
     pub reads: u64,
 }
 
-/// Nodes, messages between them, and the platform.
+/// The simulated nodes, network and platform.
 pub struct Net {
     options: Options,
     now: Time,
@@ -119,24 +120,24 @@
     listing: Listing,
     source: Source,
     reads: VecDeque<Time>,
-    /// Most reads within one second.
+    /// Peak of reads of the platform within one second.
     pub peak_reads: usize,
-    /// Share of messages that are lost, in %.
+    /// Share of messages lost, in %.
     pub loss: u32,
-    /// Share of messages that arrive a second time, up to ten seconds later, in %.
+    /// Share of requests delivered a second time, up to ten seconds later, in %.
     pub duplication: u32,
     partitions: Vec<u32>,
     blocked: HashSet<usize>,
-    /// Calls between nodes that have neither been answered nor given up.
+    /// Calls between nodes without a response or timeout so far.
     pending_calls: HashSet<u64>,
-    /// What was counted since the last call of [`Net::take_counts`].
+    /// Counters since the last call of [`Net::take_counts`].
     counts: Counts,
-    /// What did not hold, if anything.
+    /// Descriptions of violated invariants, oldest first.
     pub violations: Vec<String>,
 }
 
 impl Net {
-    /// Creates a platform and starts all nodes.
+    /// Creates the platform and starts every node.
     pub fn new(options: Options) -> Self {
         let random = SmallRng::seed_from_u64(options.seed);
         let nodes = options.nodes;
@@ -182,22 +183,22 @@
         net
     }
 
-    /// Returns the sequence of nodes.
+    /// Returns the number of nodes, dead ones included.
     pub fn len(&self) -> usize {
         self.nodes.len()
     }
 
-    /// Tells whether there are no nodes.
+    /// Returns whether there are no nodes.
     pub fn is_empty(&self) -> bool {
         self.nodes.is_empty()
     }
 
-    /// Returns the virtual time.
+    /// Returns the current virtual time.
     pub fn now(&self) -> Time {
         self.now
     }
 
-    /// Returns a node's state machine, if it runs.
+    /// Returns a node's state machine, or `None` while it is dead.
     pub fn control(&self, node: usize) -> Option<&Control> {
         self.nodes[node].control.as_ref()
     }
@@ -207,17 +208,17 @@
         self.nodes[node].in_force
     }
 
-    /// Tells whether a node runs and is not told to leave.
+    /// Returns whether a node runs and has not been drained.
     pub fn is_working(&self, node: usize) -> bool {
         self.nodes[node].control.is_some() && !self.nodes[node].drained
     }
 
-    /// Returns what was counted since the last call.
+    /// Returns the counters since the last call and resets them.
     pub fn take_counts(&mut self) -> Counts {
         std::mem::take(&mut self.counts)
     }
 
-    /// Starts a new incarnation of a node, ending the present one.
+    /// Kills a node, if it runs, and starts a new incarnation.
     pub fn start(&mut self, node: usize) {
         self.kill(node);
         let count = self.options.seeds.min(self.len());
@@ -230,7 +231,7 @@
             seed: self.random.random(),
             ..Settings::new(own)
         };
-        // A node's own monotonic clock starts with its incarnation.
+        // A node's monotonic clock starts at zero with each incarnation.
         let now = Now { time: Time::default(), ..self.clock() };
         let state = &mut self.nodes[node];
         state.control = Some(Control::new(settings, now));
@@ -242,7 +243,7 @@
         self.schedule(first, Item::Tick(node, incarnation));
     }
 
-    /// Ends a node's incarnation without a word.
+    /// Kills a node without notice to its peers.
     pub fn kill(&mut self, node: usize) {
         let state = &mut self.nodes[node];
         state.control = None;
@@ -251,12 +252,12 @@
         state.deferred.clear();
     }
 
-    /// Has a node leave as by a planned stop.
+    /// Makes a node announce that it leaves, as in a graceful stop.
     pub fn leave(&mut self, node: usize) {
         self.apply(node, Event::Leave);
     }
 
-    /// Has a node leave, and ends its incarnation after two seconds.
+    /// Stops a node gracefully; takes two seconds of virtual time.
     pub fn stop(&mut self, node: usize) {
         self.leave(node);
         self.run(Duration::from_secs(2));
@@ -265,7 +266,7 @@
         self.kill(node);
     }
 
-    /// Stops a node's clock for a while; what arrives meanwhile waits.
+    /// Pauses a node's process; messages that arrive meanwhile are delivered on resumption.
     pub fn pause(&mut self, node: usize, span: Duration) {
         let (now, state) = (self.now, &mut self.nodes[node]);
         if state.control.is_some() && state.paused_until.is_none() {
@@ -274,27 +275,27 @@
         }
     }
 
-    /// Puts a node into a group; messages pass only within a group.
+    /// Assigns a node to a network partition; messages pass only within a partition.
     pub fn set_partition(&mut self, node: usize, partition: u32) {
         self.partitions[node] = partition;
     }
 
-    /// Ends every separation.
+    /// Heals all network partitions.
     pub fn heal_partitions(&mut self) {
         self.partitions.fill(0);
     }
 
-    /// Cuts a node off from the platform, or lets it in again.
+    /// Blocks a node's access to the platform.
     pub fn block_source(&mut self, node: usize) {
         self.blocked.insert(node);
     }
 
-    /// Ends every cut from the platform.
+    /// Restores every node's access to the platform.
     pub fn unblock_sources(&mut self) {
         self.blocked.clear();
     }
 
-    /// Changes how the platform behaves.
+    /// Sets the state of the platform.
     pub fn set_source(&mut self, source: Source) {
         self.source = source;
         if source != Source::Stale {
@@ -302,26 +303,26 @@
         }
     }
 
-    /// Has the platform serve `revision` as its newest.
+    /// Makes the platform serve `revision` as its newest; an unknown revision is empty.
     pub fn set_stale_at(&mut self, revision: u64) {
         self.source = Source::Stale;
         self.served = self.history.get(&revision).cloned().unwrap_or_default();
     }
 
-    /// Returns what a node tells operators, if it runs.
+    /// Returns a node's status as operators see it, or `None` while it is dead.
     pub fn status(&mut self, node: usize) -> Option<fleet::status::Node> {
         let now = self.clock_of(node);
         self.nodes[node].control.as_mut().map(|control| control.status(now))
     }
 
-    /// Separates a data centre from the others.
+    /// Partitions a data centre from the others.
     pub fn partition_data_centre(&mut self, data_centre: usize) {
         for node in (0..self.len()).filter(|n| n % self.options.data_centres == data_centre) {
             self.partitions[node] = 1;
         }
     }
 
-    /// Publishes one document, or removes it, and returns the new revision.
+    /// Writes a document, or removes it if `None`, and returns the new revision.
     pub fn publish(&mut self, key: &str, text: Option<&str>) -> u64 {
         let revision = self.set.version().revision + 1;
         let mut delta = Delta { revision, ..Delta::default() };
@@ -341,47 +342,48 @@
         revision
     }
 
-    /// Lists a node as leaving.
+    /// Marks a node as leaving in the platform's list.
     pub fn list_leaving(&mut self, node: usize) {
         self.listing.revision += 1;
         self.listing.instances[node].leaving = true;
     }
 
-    /// Lists just these nodes, as live.
+    /// Replaces the platform's list by these nodes, none of them leaving.
     pub fn list_only(&mut self, nodes: &[usize]) {
         self.listing.revision += 1;
         self.listing.instances = nodes.iter().map(|&node| self.instance(node)).collect();
     }
 
-    /// Lists every node as live again, as a platform does for new instances at old addresses.
+    /// Clears every node's leaving mark in the platform's list.
     pub fn list_all(&mut self) {
         self.listing.revision += 1;
         self.listing.instances.iter_mut().for_each(|i| i.leaving = false);
     }
 
-    /// Returns the newest revision that is acceptable, 0 if there is none.
+    /// Returns the newest published revision that is valid, or 0.
     pub fn newest_valid(&self) -> u64 {
         let valid = |(_, set): &(&u64, &Set)| config::build(set).is_ok();
         self.history.iter().rev().find(valid).map_or(0, |(&revision, _)| revision)
     }
 
-    /// Lets virtual time pass.
+    /// Runs the simulation for `span` of virtual time.
     pub fn run(&mut self, span: Duration) {
         let until = self.now + span;
-        while let Some((at, due)) = self.queue.pop(until) {
+        while let Some((at, item)) = self.queue.pop(until) {
             self.now = self.now.max(at);
-            self.dispatch(due);
+            self.dispatch(item);
         }
         self.now = until;
     }
 
-    /// Lets time pass until every running node has `revision` in force; returns how long it took.
+    /// Runs until every running node has `revision` or a later one in force; returns the time this
+    /// took, or `None` after `limit`.
     pub fn run_until_in_force(&mut self, revision: u64, limit: Duration) -> Option<Duration> {
         let started = self.now;
         while self.now.since(started) < limit {
-            let settled =
+            let is_converged =
                 self.nodes.iter().all(|s| s.control.is_none() || s.in_force.revision >= revision);
-            if settled {
+            if is_converged {
                 return Some(self.now.since(started));
             }
             self.run(Duration::from_millis(1));
@@ -389,15 +391,15 @@
         None
     }
 
-    fn schedule(&mut self, after: Duration, due: Item) {
-        self.queue.schedule(self.now + after, due);
+    fn schedule(&mut self, after: Duration, item: Item) {
+        self.queue.schedule(self.now + after, item);
     }
 
     fn clock(&self) -> Now {
         Now { time: self.now, wall_ms: EPOCH_MS + self.now.millis() }
     }
 
-    /// Returns the clock by a node's own clock, which starts with its incarnation.
+    /// Returns the clocks as a node reads them; its monotonic clock starts with its incarnation.
     fn clock_of(&self, node: usize) -> Now {
         Now { time: Time::at(self.now.since(self.nodes[node].started)), ..self.clock() }
     }
@@ -408,21 +410,21 @@
 
     fn record(&self, node: usize) -> Record {
         let incarnation = self.nodes[node].incarnation;
-        let lives = INCARNATION_GAP * u32::try_from(incarnation).unwrap_or(u32::MAX);
+        let offset = INCARNATION_GAP * u32::try_from(incarnation).unwrap_or(u32::MAX);
         Record {
             address: address(node),
             traffic: address(node),
             instance: format!("node-{node}"),
             service: format!("service-{}", node % self.options.services),
             data_centre: format!("dc-{}", node % self.options.data_centres),
-            incarnation: self.clock().wall_ms + lives.as_millis() as u64,
+            incarnation: self.clock().wall_ms + offset.as_millis() as u64,
             sequence: 0,
             state: State::Live,
         }
     }
 }
 
-/// Returns the address of a node.
+/// Returns the address of node number `node`, for callers and peers alike.
 pub fn address(node: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, (node / 250) as u8, (node % 250) as u8], 7_000))
 }
--- a/crates/standins/src/simulation/delivery.rs
+++ b/crates/standins/src/simulation/delivery.rs
@@ -1,4 +1,4 @@
-//! Delivers messages and the platform's answers to nodes, and carries out their effects.
+//! Delivery of messages and platform answers to nodes, and execution of their effects.
 
 use fleet::{
     control::{Effect, Error, Event, Method},
@@ -11,13 +11,13 @@
 
 use super::{Net, Source, TICK, address, index_of, queue::Item};
 
-/// Bytes of HTTP headers of a request and its answer, estimated; TCP/IP is not counted.
+/// Estimated HTTP header bytes of a request and its response; TCP/IP is not counted.
 const HEADER_BYTES: u64 = 330;
 
 impl Net {
-    /// Carries out what is due, unless the node it concerns is dead or paused.
-    pub(super) fn dispatch(&mut self, due: Item) {
-        let (node, incarnation) = match &due {
+    /// Processes an event, or drops it if its node is dead and defers it if its node is paused.
+    pub(super) fn dispatch(&mut self, item: Item) {
+        let (node, incarnation) = match &item {
             Item::Tick(node, incarnation) => (*node, *incarnation),
             Item::Request { to, .. } => (*to, self.nodes[*to].incarnation),
             Item::Response { to, incarnation, .. }
@@ -26,19 +26,19 @@
             | Item::Poll { to, incarnation, .. } => (*to, *incarnation),
         };
         if self.nodes[node].control.is_none() || self.nodes[node].incarnation != incarnation {
-            if let Item::Request { call, from, to, request } = due {
+            if let Item::Request { call, from, to, request } = item {
                 self.refuse(call, from, to, method_of(&request));
             }
             return;
         }
         if let Some(until) = self.nodes[node].paused_until {
             if self.now < until {
-                self.defer(node, due, until);
+                self.defer(node, item, until);
                 return;
             }
             self.resume(node);
         }
-        match due {
+        match item {
             Item::Tick(node, incarnation) => {
                 self.apply(node, Event::Tick);
                 self.schedule(TICK, Item::Tick(node, incarnation));
@@ -59,16 +59,16 @@
         }
     }
 
-    /// Keeps what is due at a paused node until it wakes.
-    fn defer(&mut self, node: usize, due: Item, until: Time) {
+    /// Keeps a paused node's event until the node resumes.
+    fn defer(&mut self, node: usize, item: Item, until: Time) {
         if self.nodes[node].deferred.is_empty() {
             let incarnation = self.nodes[node].incarnation;
             self.schedule(until.since(self.now), Item::Tick(node, incarnation));
         }
-        match due {
-            // A paused process has no ticks; the one scheduled above goes on.
+        match item {
+            // A paused process doesn't tick; the tick scheduled above resumes the cycle.
             Item::Tick(..) if !self.nodes[node].deferred.is_empty() => {}
-            due => self.nodes[node].deferred.push(due),
+            item => self.nodes[node].deferred.push(item),
         }
     }
 
@@ -76,13 +76,13 @@
         let span = self.now.since(self.nodes[node].paused_at);
         self.nodes[node].paused_until = None;
         let deferred = std::mem::take(&mut self.nodes[node].deferred);
-        // Whether the pause or a waiting message is noticed first is a matter of chance.
+        // A real node may notice the pause before or after the messages that arrived meanwhile.
         let pause_first = self.random.random_bool(0.5);
         if pause_first {
             self.apply(node, Event::Resumed(span));
         }
-        for due in deferred.into_iter().filter(|due| !matches!(due, Item::Tick(..))) {
-            self.dispatch(due);
+        for item in deferred.into_iter().filter(|item| !matches!(item, Item::Tick(..))) {
+            self.dispatch(item);
         }
         if !pause_first {
             self.apply(node, Event::Resumed(span));
@@ -96,14 +96,14 @@
                 self.count(size_of_response(&response));
                 if !self.is_lost(from, to) {
                     let from_address = address(to);
-                    let back = Item::Response {
+                    let reply = Item::Response {
                         call,
                         from: from_address,
                         to: from,
                         incarnation,
                         response,
                     };
-                    self.schedule(self.options.latency, back);
+                    self.schedule(self.options.latency, reply);
                 }
             } else {
                 self.carry_out(to, effect);
@@ -111,12 +111,12 @@
         }
     }
 
-    /// Tells a caller at once that nobody listens.
+    /// Fails a call to a dead node after one network delay.
     fn refuse(&mut self, call: u64, from: usize, to: usize, method: Method) {
         let error = Error { method, malformed: None };
         let incarnation = self.nodes[from].incarnation;
-        let due = Item::Failed { call, from: address(to), to: from, incarnation, error };
-        self.schedule(self.options.latency, due);
+        let item = Item::Failed { call, from: address(to), to: from, incarnation, error };
+        self.schedule(self.options.latency, item);
     }
 
     pub(super) fn apply(&mut self, node: usize, event: Event) {
@@ -180,7 +180,7 @@
         self.schedule(delay, Item::Poll { to: node, incarnation, query, until });
     }
 
-    /// Answers a call to the platform, or looks again in a clock.
+    /// Answers a read of the platform, or checks again later if it still waits for a change.
     fn poll_source(&mut self, node: usize, query: Query, until: Time) {
         let topic = match query {
             Query::Config { .. } => Topic::Config,
@@ -208,31 +208,34 @@
             }
             Query::Config { .. } => Answer::Unchanged(topic, self.served.version().revision),
             Query::List { .. } => Answer::Unchanged(topic, self.listing.revision),
-            // These nodes find each other by gossip and ask for the two things apart.
+            // Simulated nodes use gossip, which reads configuration and instances separately.
             Query::Changes { .. } => Answer::Failed(topic, Failure::RateLimited),
         };
         self.schedule(self.options.latency, Item::Source { to: node, incarnation, answer });
     }
 
-    /// Checks what must always hold when a version comes into force.
+    /// Checks the invariants of a version that comes into force.
     fn check_in_force(&mut self, node: usize, snapshot: &config::Snapshot) {
         let (old, new) = (self.nodes[node].in_force, snapshot.version);
         self.nodes[node].in_force = new;
         if new.revision <= old.revision {
-            self.violations.push(format!("node {node} went from {old} to {new}"));
+            self.violations
+                .push(format!("node {node} replaced version {old} by {new}, which is not newer"));
         }
         match self.history.get(&new.revision) {
-            None => self.violations.push(format!("node {node} took {new}, which nobody published")),
+            None => self
+                .violations
+                .push(format!("node {node} applied {new}, which was never published")),
             Some(set) if set.version() != new => {
-                self.violations.push(format!("node {node} took {new}, which is only part of it"));
+                self.violations.push(format!("node {node} applied {new}, which is incomplete"));
             }
             Some(set) if config::build(set).is_err() => {
-                self.violations.push(format!("node {node} took {new}, which is not acceptable"));
+                self.violations.push(format!("node {node} applied {new}, which is invalid"));
             }
             Some(_) => {}
         }
         for service in snapshot.services() {
-            // Panics where a route points at a profile that the snapshot does not hold.
+            // Panics if the service refers to a profile that the snapshot lacks.
             let _ = snapshot.profile(service);
         }
     }
--- a/crates/standins/src/simulation/queue.rs
+++ b/crates/standins/src/simulation/queue.rs
@@ -1,4 +1,4 @@
-//! What is due when, on the virtual clock.
+//! Event queue of the simulation.
 
 use fleet::{
     control::Error,
@@ -8,7 +8,7 @@
 use model::time::Time;
 use std::{cmp::Reverse, collections::BinaryHeap, net::SocketAddr};
 
-/// Something that is due at a time.
+/// A scheduled event; events of an earlier incarnation are dropped.
 #[derive(Debug)]
 pub(super) enum Item {
     Tick(usize, u64),
@@ -19,7 +19,7 @@
     Poll { to: usize, incarnation: u64, query: Query, until: Time },
 }
 
-/// Everything that is due, in order of time and then of insertion.
+/// Scheduled events in order of time, then of insertion.
 #[derive(Debug, Default)]
 pub(super) struct Queue {
     sequence: u64,
@@ -27,27 +27,27 @@
 }
 
 impl Queue {
-    /// Adds what is due at `at`.
-    pub(super) fn schedule(&mut self, at: Time, due: Item) {
+    /// Schedules an event at `at`.
+    pub(super) fn schedule(&mut self, at: Time, item: Item) {
         self.sequence += 1;
-        self.entries.push(Reverse(Entry { at, sequence: self.sequence, due }));
+        self.entries.push(Reverse(Entry { at, sequence: self.sequence, item }));
     }
 
-    /// Takes the first entry that is due no later than `until`.
+    /// Removes the first event that is due no later than `until`.
     pub(super) fn pop(&mut self, until: Time) -> Option<(Time, Item)> {
         if self.entries.peek()?.0.at > until {
             return None;
         }
-        self.entries.pop().map(|Reverse(entry)| (entry.at, entry.due))
+        self.entries.pop().map(|Reverse(entry)| (entry.at, entry.item))
     }
 }
 
-/// An entry of the queue, ordered by time and then by insertion.
+/// A queue entry, ordered by time, then by insertion.
 #[derive(Debug)]
 struct Entry {
     at: Time,
     sequence: u64,
-    due: Item,
+    item: Item,
 }
 
 impl PartialEq for Entry {
--- a/crates/standins/src/upstream.rs
+++ b/crates/standins/src/upstream.rs
@@ -1,6 +1,6 @@
-//! An upstream: slots, a ledger of what it really ran, and many ways to misbehave.
+//! In-process HTTP/1.1 upstream with a concurrency limit, fault modes and a ledger of what it ran.
 //!
-//! It writes its answers by hand, since no HTTP library can be made to truncate or double them.
+//! Responses are written by hand, since HTTP libraries don't allow truncated or duplicate ones.
 
 use std::{
     collections::HashMap,
@@ -19,64 +19,64 @@
 
 use crate::caller::{self, WORK_HEADER};
 
-/// Most headers of a request.
+/// Maximum number of headers of a request.
 const MAX_HEADERS: usize = 64;
 
-/// End of the path of a request that ends the process of every upstream that runs it.
+/// Path suffix of a poison request: one that crashes every upstream that runs it.
 pub const POISON_SUFFIX: &str = "/fatal";
 
-/// Time from the beginning of such a request to the end of the process.
+/// Time from the start of a poison request to the crash.
 const CRASH_DELAY: Duration = Duration::from_millis(20);
 
-/// Time from the end of a process to its next start.
+/// Time from a crash to the restart.
 const RESTART_DELAY: Duration = Duration::from_millis(300);
 
-/// Time between two attempts to listen at the address of the former process.
+/// Interval between attempts to bind the previous address after a crash.
 const REBIND_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How an upstream behaves.
+/// How an upstream handles requests.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Mode {
-    /// It runs a request and answers.
+    /// Runs the request and answers.
     #[default]
     Normal,
-    /// It reads requests and does nothing at all.
+    /// Reads the request, then neither runs nor answers it.
     Frozen,
-    /// It runs a request and never answers.
+    /// Runs the request and never answers.
     Silent,
-    /// It closes the connection before it runs the request.
+    /// Closes the connection without running the request.
     CloseBefore,
-    /// It runs the request and closes the connection.
+    /// Runs the request, then closes the connection without an answer.
     CloseAfter,
-    /// It answers with less than it declared and closes the connection.
+    /// Sends half of the declared body, then closes the connection.
     Truncate,
-    /// It answers twice.
+    /// Sends the response twice.
     Duplicate,
-    /// It answers with the id of another request.
+    /// Answers with another request's id.
     WrongId,
-    /// It refuses with 503 before running anything.
+    /// Answers with 503 without running the request.
     Refuse,
 }
 
 /// Settings of an [`Upstream`].
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Address to listen at; port 0 for a free one.
+    /// Listen address; port 0 selects a free port.
     pub listen: SocketAddr,
-    /// Time a request takes.
+    /// Time to run one request.
     pub service_time: Duration,
-    /// Requests run at once; more are answered with 503 and counted as shed.
+    /// Concurrency limit; further requests are answered with 503 and counted as shed.
     pub slots: usize,
-    /// Bytes of an answer.
+    /// Body size of a response, in bytes.
     pub answer_bytes: usize,
 }
 
-/// A further call that a request causes, through a node.
+/// A nested call that each request makes through a node before it is answered.
 #[derive(Clone, Debug)]
 pub struct Nested {
-    /// Address of the node for calls.
+    /// The node's address for callers.
     pub node: SocketAddr,
-    /// Path, which names the service.
+    /// Request path; its first segment is the service or route.
     pub path: String,
 }
 
@@ -91,7 +91,7 @@
     }
 }
 
-/// A running upstream; clones share it.
+/// Handle to a running upstream; clones share its state.
 #[derive(Clone)]
 pub struct Upstream {
     address: SocketAddr,
@@ -99,24 +99,24 @@
     settings: Arc<Settings>,
 }
 
-/// What an upstream has done.
+/// Record of the requests that an upstream received, over all its restarts.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
-    /// How often each named piece of work was begun.
+    /// Number of runs by work id.
     pub runs_by_work: HashMap<String, u32>,
-    /// When each named piece of work was begun, oldest first.
+    /// Start time and work id of each run that had one, oldest first.
     pub starts: Vec<(Instant, String)>,
-    /// Requests begun.
+    /// Requests started.
     pub runs: u64,
-    /// Requests that were finished.
+    /// Requests run to the end.
     pub finished: u64,
-    /// Requests answered with 503 for want of a slot.
+    /// Requests answered with 503 because all slots were in use.
     pub shed: u64,
-    /// Most requests run at once.
+    /// Peak of requests run at the same time.
     pub max_busy: usize,
-    /// When its process ended under a request, oldest first.
+    /// Times of crashes caused by poison requests, oldest first.
     pub crashes: Vec<Instant>,
-    /// Requests that end the process, as they came here: when they were begun, and their paths.
+    /// Start time and path of each poison request, oldest first.
     pub poison_requests: Vec<(Instant, String)>,
 }
 
@@ -127,11 +127,11 @@
     busy: usize,
     ledger: Ledger,
     tasks: Vec<AbortHandle>,
-    /// How often its process was ended.
+    /// Number of kills and crashes; tells a pending restart that it is out of date.
     kills: u64,
 }
 
-/// A request as far as an upstream cares.
+/// The parts of a request that an upstream uses.
 struct Request {
     path: String,
     work: Option<String>,
@@ -161,34 +161,34 @@
         Ok(upstream)
     }
 
-    /// Returns the address it listens at.
+    /// Returns the listen address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Changes how it behaves.
+    /// Sets how requests are handled from now on.
     pub fn set_mode(&self, mode: Mode) {
         self.lock().mode = mode;
     }
 
-    /// Changes the time a request takes.
+    /// Sets the time to run one request.
     pub fn set_service_time(&self, service_time: Duration) {
         self.lock().service_time = service_time;
     }
 
-    /// Has each request cause a further call before it is answered.
+    /// Makes each request send a nested call before it is answered.
     pub fn set_nested(&self, nested: Nested) {
         self.lock().nested = Some(nested);
     }
 
-    /// Closes the listener and every connection, as a killed process would.
+    /// Closes the listener and every connection, as if the process was killed.
     pub fn kill(&self) {
         let mut state = self.lock();
         state.kills += 1;
         state.tasks.drain(..).for_each(|task| task.abort());
     }
 
-    /// Ends the process, and starts it again after a while unless it is killed meanwhile.
+    /// Simulates a crash, and restarts after [`RESTART_DELAY`] unless killed meanwhile.
     fn crash(&self) {
         let server = self.clone();
         tokio::spawn(async move {
@@ -210,12 +210,12 @@
         self.lock().tasks.push(task.abort_handle());
     }
 
-    /// Returns what it has done.
+    /// Returns a copy of the ledger.
     pub fn ledger(&self) -> Ledger {
         self.lock().ledger.clone()
     }
 
-    /// Returns the number of requests being run.
+    /// Returns the number of requests in flight.
     pub fn busy(&self) -> usize {
         self.lock().busy
     }
@@ -224,7 +224,7 @@
         while let Ok((stream, _)) = listener.accept().await {
             let server = self.clone();
             let task = tokio::spawn(async move {
-                // A connection that breaks is the caller's business.
+                // An I/O error only ends this connection; the client sees it too.
                 let _ = server.serve(stream).await;
             });
             let mut state = self.lock();
@@ -270,7 +270,7 @@
         Ok(())
     }
 
-    /// Runs one request and returns the status of its answer.
+    /// Runs one request and returns the status line of its response.
     async fn run(&self, request: &Request) -> &'static str {
         let Some(run) = Run::begin(self, request) else { return "503 Shed" };
         if request.path.ends_with(POISON_SUFFIX) {
@@ -300,7 +300,7 @@
     }
 }
 
-/// A request being run, counted while it exists.
+/// Guard of a request in flight; it occupies a slot until dropped.
 struct Run<'a> {
     upstream: &'a Upstream,
 }
@@ -334,7 +334,7 @@
     }
 }
 
-/// Reads one request with its body; none at the end of the connection.
+/// Reads one request and discards its body; `None` at the end of the connection.
 async fn read(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> io::Result<Option<Request>> {
     loop {
         if let Some((request, length)) = parse(buffer)? {
@@ -352,7 +352,7 @@
     }
 }
 
-/// Parses a head; returns the request and its length with the body.
+/// Parses a request head; returns the request and its length including the body.
 fn parse(buffer: &[u8]) -> io::Result<Option<(Request, usize)>> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
@@ -372,7 +372,7 @@
     Ok(Some((request, end + body)))
 }
 
-/// Writes an answer that declares `declared` bytes and has `written`.
+/// Writes a response with `content-length: declared` and `written` bytes of body.
 async fn respond(
     stream: &mut TcpStream,
     request: &Request,
