--- a/crates/baobabrelayd/tests/poison_request.rs
+++ b/crates/baobabrelayd/tests/poison_request.rs
@@ -3,7 +3,7 @@
 use standins::{
     caller::{Answer, Call, Caller},
     mesh::{Mesh, Settings, places},
-    upstream::FATAL,
+    upstream::POISON_SUFFIX,
 };
 use std::{path::PathBuf, thread, time::Duration};
 
@@ -42,20 +42,20 @@
 }
 
 fn call(mesh: &Mesh, node: usize, path: &str) -> Answer {
-    let mut caller = Caller::new(mesh.spots[node].traffic);
+    let mut caller = Caller::new(mesh.instances[node].traffic);
     let answer = mesh.runtime().block_on(caller.call(&Call::get(path)));
     answer.unwrap_or_else(|_| panic!("node {node} answers"))
 }
 
 fn crashes(mesh: &Mesh) -> usize {
-    mesh.spots.iter().map(|spot| spot.upstream.ledger().ends.len()).sum()
+    mesh.instances.iter().map(|instance| instance.upstream.ledger().crashes.len()).sum()
 }
 
 /// Guards against retries that carry a poison request from upstream to upstream.
 #[test]
 fn a_poison_request_is_quarantined_before_it_crashes_every_upstream() {
     let mesh = mesh();
-    let poison = format!("/counts{FATAL}");
+    let poison = format!("/counts{POISON_SUFFIX}");
     let mut last = None;
     for attempt in 0..ATTEMPTS {
         last = Some(call(&mesh, attempt % NODES, &poison));
--- a/crates/fleet/tests/leaving.rs
+++ b/crates/fleet/tests/leaving.rs
@@ -1,7 +1,7 @@
 //! Planned stops, instances listed as leaving, process pauses and false suspicion.
 
 use fleet::member::State;
-use standins::memory::{Net, Options, address};
+use standins::simulation::{Net, Options, address};
 use std::time::Duration;
 
 fn net(nodes: usize) -> Net {
@@ -90,9 +90,9 @@
 #[test]
 fn a_suspicion_from_before_a_pause_does_not_expire_on_resume() {
     let mut net = net(24);
-    net.separate(5, 1);
+    net.set_partition(5, 1);
     net.run(Duration::from_millis(2_300));
-    net.join();
+    net.heal_partitions();
     net.pause(5, Duration::from_secs(60));
     net.run(Duration::from_secs(60));
     for _ in 0..50 {
--- a/crates/standins/src/script.rs
+++ b/crates/standins/src/script.rs
@@ -1,67 +1,67 @@
-//! Random scripts of faults and operators' actions, run against the in-memory ports.
+//! Random sequences of faults and operator actions, run on the simulation.
 //!
-//! The oracle is simple: at no step may a node go back, hold part of a version or one that nobody
-//! published; and once the last fault is healed, every node must have the newest acceptable
-//! version in force, and believe every other working node to take work, within [`BOUND`].
+//! Checked after each action: no node goes back to an older version, or applies a partial or
+//! unpublished one. Checked within [`CONVERGENCE_LIMIT`] of the last fault: every node has the
+//! newest valid version in force and sees every other running node as accepting calls.
 
 use quickcheck::{Arbitrary, Gen};
 use std::time::Duration;
 
 use crate::{
-    memory::{Net, Options, Source, address},
     platform::READS_PER_SECOND,
+    simulation::{Net, Options, Source, address},
 };
 
-/// Time within which everything must be well after the last fault.
+/// Time after the last fault within which all nodes must converge.
 ///
-/// It is the longest back-off from the platform (30 s) plus a watch (8 s) and a few probes.
-pub const BOUND: Duration = Duration::from_secs(45);
+/// The longest backoff from the platform (30 s), plus a watch (8 s) and a few probes.
+pub const CONVERGENCE_LIMIT: Duration = Duration::from_secs(45);
 
-/// Nodes of a scripted net.
+/// Nodes of the simulation.
 const NODES: usize = 6;
 
 /// One action of a script; node numbers are taken modulo the number of nodes.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Action {
-    /// Publishes an acceptable revision.
+    /// Publishes a valid revision.
     Publish(u8),
-    /// Publishes a revision that is not acceptable.
-    PublishBad(u8),
-    /// Publishes a service before the profile that it names, and the profile after a while.
-    Cross(u8, u16),
-    /// Removes a document that nothing refers to.
+    /// Publishes an invalid revision, then a valid one.
+    PublishInvalid(u8),
+    /// Publishes a service before the profile that it refers to, and the profile after so many ms.
+    PublishOutOfOrder(u8, u16),
+    /// Removes a profile that no service refers to.
     Remove(u8),
-    /// Kills a node.
+    /// Kills a node; nothing restarts it before the script ends.
     Kill(u8),
-    /// Starts a new life of a node.
+    /// Kills a node and starts a new incarnation.
     Restart(u8),
     /// Restarts every node at once.
-    Herd,
-    /// Stops a node in an orderly way and starts it anew.
+    RestartAll,
+    /// Stops a node gracefully and starts a new incarnation.
     Replace(u8),
-    /// Freezes a node for so many ms.
+    /// Pauses a node for so many ms.
     Pause(u8, u16),
-    /// Separates a node from the others.
-    Separate(u8),
-    /// Separates two halves.
-    Halve,
-    /// Ends every separation.
-    Join,
-    /// Cuts a node off from the platform.
-    CutSource(u8),
-    /// The platform does not answer.
+    /// Moves a node into a network partition of its own.
+    Partition(u8),
+    /// Splits the network into two halves.
+    Split,
+    /// Heals every network partition.
+    HealPartitions,
+    /// Blocks a node's access to the platform.
+    BlockSource(u8),
+    /// The platform becomes unreachable.
     SourceDown,
-    /// The platform serves an old revision from now on.
+    /// The platform serves the present revision as the newest from now on.
     SourceStale,
-    /// The platform answers late.
+    /// The platform answers with a delay.
     SourceSlow,
-    /// The platform answers.
+    /// The platform answers normally.
     SourceUp,
-    /// So many per cent of messages are lost.
+    /// Sets the share of lost messages, in %.
     Loss(u8),
-    /// So many per cent of messages arrive twice, the second time late.
-    Doubling(u8),
-    /// Time passes, in ms.
+    /// Sets the share of messages delivered a second time later, in %.
+    Duplication(u8),
+    /// Lets so many ms of virtual time pass.
     Wait(u16),
 }
 
@@ -70,24 +70,24 @@
         let (node, ms) = (u8::arbitrary(g), u16::arbitrary(g) % 8_000);
         match u8::arbitrary(g) % 26 {
             0..=3 => Action::Publish(node),
-            4 => Action::PublishBad(node),
-            5 => Action::Cross(node, ms),
+            4 => Action::PublishInvalid(node),
+            5 => Action::PublishOutOfOrder(node, ms),
             6 => Action::Remove(node),
             7 => Action::Kill(node),
             8 | 9 => Action::Restart(node),
-            10 => Action::Herd,
+            10 => Action::RestartAll,
             11 => Action::Replace(node),
             12 => Action::Pause(node, ms),
-            13 => Action::Separate(node),
-            14 => Action::Halve,
-            15 => Action::Join,
-            16 => Action::CutSource(node),
+            13 => Action::Partition(node),
+            14 => Action::Split,
+            15 => Action::HealPartitions,
+            16 => Action::BlockSource(node),
             17 => Action::SourceDown,
             18 => Action::SourceStale,
             19 => Action::SourceSlow,
             20 => Action::SourceUp,
             21 => Action::Loss(node % 60),
-            22 => Action::Doubling(node % 60),
+            22 => Action::Duplication(node % 60),
             _ => Action::Wait(ms),
         }
     }
@@ -96,42 +96,44 @@
         match *self {
             Action::Wait(ms) => Box::new(ms.shrink().map(Action::Wait)),
             Action::Pause(node, ms) => Box::new(ms.shrink().map(move |ms| Action::Pause(node, ms))),
-            Action::Cross(node, ms) => Box::new(ms.shrink().map(move |ms| Action::Cross(node, ms))),
+            Action::PublishOutOfOrder(node, ms) => {
+                Box::new(ms.shrink().map(move |ms| Action::PublishOutOfOrder(node, ms)))
+            }
             _ => Box::new(std::iter::empty()),
         }
     }
 }
 
-/// Runs a script and returns what did not hold.
+/// Runs a script; the error describes the first violated invariant or the missing convergence.
 pub fn run(actions: &[Action], seed: u64) -> Result<(), String> {
     let mut net = Net::new(Options { nodes: NODES, seed, ..Options::default() });
     net.publish("profiles/base", Some("{}"));
     net.publish("services/service-0", Some(r#"{"profile": "base"}"#));
     net.run(Duration::from_secs(3));
     for action in actions {
-        act(&mut net, action);
+        apply(&mut net, action);
         net.run(Duration::from_millis(20));
-        verdict(&net)?;
+        check_invariants(&net)?;
     }
     heal(&mut net);
-    net.run(BOUND);
-    verdict(&net)?;
-    settled(&net)
+    net.run(CONVERGENCE_LIMIT);
+    check_invariants(&net)?;
+    check_converged(&net)
 }
 
-fn act(net: &mut Net, action: &Action) {
+fn apply(net: &mut Net, action: &Action) {
     let node = |n: u8| usize::from(n) % NODES;
     match *action {
         Action::Publish(n) => {
             let text = format!(r#"{{"deadline_ms": {}}}"#, 100 + u32::from(n));
             net.publish(&format!("profiles/p{}", n % 5), Some(&text));
         }
-        Action::PublishBad(n) => {
+        Action::PublishInvalid(n) => {
             net.publish("profiles/bad", Some(&format!(r#"{{"deadline_ms": "{n}"}}"#)));
             net.run(Duration::from_millis(u64::from(n) * 10));
             net.publish("profiles/bad", Some("{}"));
         }
-        Action::Cross(n, ms) => {
+        Action::PublishOutOfOrder(n, ms) => {
             let (profile, service) = (format!("x{n}"), format!("services/x{n}"));
             net.publish(&service, Some(&format!(r#"{{"profile": "{profile}"}}"#)));
             net.run(Duration::from_millis(ms.into()));
@@ -142,32 +144,32 @@
         }
         Action::Kill(n) => net.kill(node(n)),
         Action::Restart(n) => net.start(node(n)),
-        Action::Herd => (0..NODES).for_each(|n| net.start(n)),
+        Action::RestartAll => (0..NODES).for_each(|n| net.start(n)),
         Action::Replace(n) => {
             net.stop(node(n));
             net.start(node(n));
         }
         Action::Pause(n, ms) => net.pause(node(n), Duration::from_millis(ms.into())),
-        Action::Separate(n) => net.separate(node(n), 1 + u32::from(n)),
-        Action::Halve => (0..NODES / 2).for_each(|n| net.separate(n, 1)),
-        Action::Join => net.join(),
-        Action::CutSource(n) => net.cut_source(node(n)),
+        Action::Partition(n) => net.set_partition(node(n), 1 + u32::from(n)),
+        Action::Split => (0..NODES / 2).for_each(|n| net.set_partition(n, 1)),
+        Action::HealPartitions => net.heal_partitions(),
+        Action::BlockSource(n) => net.block_source(node(n)),
         Action::SourceDown => net.set_source(Source::Down),
         Action::SourceStale => net.set_source(Source::Stale),
         Action::SourceSlow => net.set_source(Source::Slow(Duration::from_millis(700))),
         Action::SourceUp => net.set_source(Source::Up),
         Action::Loss(percent) => net.loss = percent.into(),
-        Action::Doubling(percent) => net.doubling = percent.into(),
+        Action::Duplication(percent) => net.duplication = percent.into(),
         Action::Wait(ms) => net.run(Duration::from_millis(ms.into())),
     }
 }
 
-/// Ends every fault; dead nodes are started, as the platform replaces instances.
+/// Ends every fault and restarts dead nodes.
 fn heal(net: &mut Net) {
-    net.join();
-    net.heal_source();
+    net.heal_partitions();
+    net.unblock_sources();
     net.set_source(Source::Up);
-    (net.loss, net.doubling) = (0, 0);
+    (net.loss, net.duplication) = (0, 0);
     for node in 0..net.len() {
         if net.control(node).is_none() {
             net.start(node);
@@ -175,29 +177,32 @@
     }
 }
 
-/// Returns what has been broken so far.
-fn verdict(net: &Net) -> Result<(), String> {
-    if net.peak > READS_PER_SECOND {
-        return Err(format!("{} reads within one second", net.peak));
+/// Returns an error for the first invariant violated so far.
+fn check_invariants(net: &Net) -> Result<(), String> {
+    if net.peak_reads > READS_PER_SECOND {
+        return Err(format!("{} reads of the platform within one second", net.peak_reads));
     }
-    net.broken.first().map_or(Ok(()), |broken| Err(broken.clone()))
+    net.violations.first().map_or(Ok(()), |violation| Err(violation.clone()))
 }
 
-/// Returns what is not well although every fault is healed.
-fn settled(net: &Net) -> Result<(), String> {
-    let newest = net.newest_good();
+/// Returns an error unless all nodes have the newest valid version and see each other.
+fn check_converged(net: &Net) -> Result<(), String> {
+    let newest = net.newest_valid();
     for node in 0..net.len() {
         let version = net.version(node);
         if version.revision != newest {
-            return Err(format!("node {node} holds {version} and not revision {newest}"));
+            return Err(format!("node {node} has {version} in force instead of revision {newest}"));
         }
         let Some(control) = net.control(node) else { continue };
         for peer in (0..net.len()).filter(|&peer| net.is_working(peer)) {
-            let seen = control.roster().get(address(peer));
-            let life = net.control(peer).map(|c| c.roster().own().incarnation);
-            let right = seen.is_some_and(|r| r.state.takes_work() && Some(r.incarnation) == life);
-            if !right {
-                return Err(format!("node {node} holds node {peer} for {seen:?}"));
+            let record = control.roster().get(address(peer));
+            let incarnation = net.control(peer).map(|c| c.roster().own().incarnation);
+            let is_known =
+                record.is_some_and(|r| r.state.takes_work() && Some(r.incarnation) == incarnation);
+            if !is_known {
+                return Err(format!(
+                    "node {node} has record {record:?} of the running node {peer}"
+                ));
             }
         }
     }
--- a/crates/standins/src/upstream.rs
+++ b/crates/standins/src/upstream.rs
@@ -1,6 +1,6 @@
-//! An upstream: slots, a ledger of what it really ran, and many ways to misbehave.
+//! In-process HTTP/1.1 upstream with a concurrency limit, fault modes and a ledger of what it ran.
 //!
-//! It writes its answers by hand, since no HTTP library can be made to truncate or double them.
+//! Responses are written by hand, since HTTP libraries don't allow truncated or duplicate ones.
 
 use std::{
     collections::HashMap,
@@ -17,66 +17,66 @@
     time::sleep,
 };
 
-use crate::caller::{self, WORK};
+use crate::caller::{self, WORK_HEADER};
 
-/// Most headers of a request.
-const HEADER_LIMIT: usize = 64;
+/// Maximum number of headers of a request.
+const MAX_HEADERS: usize = 64;
 
-/// End of the path of a request that ends the process of every upstream that runs it.
-pub const FATAL: &str = "/fatal";
+/// Path suffix of a poison request: one that crashes every upstream that runs it.
+pub const POISON_SUFFIX: &str = "/fatal";
 
-/// Time from the beginning of such a request to the end of the process.
-const FATAL_WORK: Duration = Duration::from_millis(20);
+/// Time from the start of a poison request to the crash.
+const CRASH_DELAY: Duration = Duration::from_millis(20);
 
-/// Time from the end of a process to its next start.
-const RESTART: Duration = Duration::from_millis(300);
+/// Time from a crash to the restart.
+const RESTART_DELAY: Duration = Duration::from_millis(300);
 
-/// Time between two attempts to listen at the address of the former process.
-const RELISTEN: Duration = Duration::from_millis(10);
+/// Interval between attempts to bind the previous address after a crash.
+const REBIND_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How an upstream behaves.
+/// How an upstream handles requests.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Mode {
-    /// It runs a request and answers.
+    /// Runs the request and answers.
     #[default]
     Normal,
-    /// It reads requests and does nothing at all.
+    /// Reads the request, then neither runs nor answers it.
     Frozen,
-    /// It runs a request and never answers.
+    /// Runs the request and never answers.
     Silent,
-    /// It closes the connection before it runs the request.
+    /// Closes the connection without running the request.
     CloseBefore,
-    /// It runs the request and closes the connection.
+    /// Runs the request, then closes the connection without an answer.
     CloseAfter,
-    /// It answers with less than it declared and closes the connection.
+    /// Sends half of the declared body, then closes the connection.
     Truncate,
-    /// It answers twice.
-    Double,
-    /// It answers with the id of another request.
-    Cross,
-    /// It refuses with 503 before running anything.
+    /// Sends the response twice.
+    Duplicate,
+    /// Answers with another request's id.
+    WrongId,
+    /// Answers with 503 without running the request.
     Refuse,
 }
 
 /// Settings of an [`Upstream`].
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Address to listen at; port 0 for a free one.
+    /// Listen address; port 0 selects a free port.
     pub listen: SocketAddr,
-    /// Time a request takes.
-    pub work: Duration,
-    /// Requests run at once; more are answered with 503 and counted as shed.
+    /// Time to run one request.
+    pub service_time: Duration,
+    /// Concurrency limit; further requests are answered with 503 and counted as shed.
     pub slots: usize,
-    /// Bytes of an answer.
-    pub answer: usize,
+    /// Body size of a response, in bytes.
+    pub answer_bytes: usize,
 }
 
-/// A further call that a request causes, through a node.
+/// A nested call that each request makes through a node before it is answered.
 #[derive(Clone, Debug)]
-pub struct Next {
-    /// Address of the node for calls.
+pub struct Nested {
+    /// The node's address for callers.
     pub node: SocketAddr,
-    /// Path, which names the service.
+    /// Request path; its first segment is the service or route.
     pub path: String,
 }
 
@@ -84,14 +84,14 @@
     fn default() -> Self {
         Settings {
             listen: SocketAddr::from(([127, 0, 0, 1], 0)),
-            work: Duration::ZERO,
+            service_time: Duration::ZERO,
             slots: 10,
-            answer: 64,
+            answer_bytes: 64,
         }
     }
 }
 
-/// A running upstream; clones share it.
+/// Handle to a running upstream; clones share its state.
 #[derive(Clone)]
 pub struct Upstream {
     address: SocketAddr,
@@ -99,39 +99,39 @@
     settings: Arc<Settings>,
 }
 
-/// What an upstream has done.
+/// Record of the requests that an upstream received, over all its restarts.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
-    /// How often each named piece of work was begun.
-    pub begun: HashMap<String, u32>,
-    /// When each named piece of work was begun, oldest first.
+    /// Number of runs by work id.
+    pub runs_by_work: HashMap<String, u32>,
+    /// Start time and work id of each run that had one, oldest first.
     pub starts: Vec<(Instant, String)>,
-    /// Requests begun.
+    /// Requests started.
     pub runs: u64,
-    /// Requests that were finished.
+    /// Requests run to the end.
     pub finished: u64,
-    /// Requests answered with 503 for want of a slot.
+    /// Requests answered with 503 because all slots were in use.
     pub shed: u64,
-    /// Most requests run at once.
-    pub most_busy: usize,
-    /// When its process ended under a request, oldest first.
-    pub ends: Vec<Instant>,
-    /// Requests that end the process, as they came here: when they were begun, and their paths.
-    pub fatal: Vec<(Instant, String)>,
+    /// Peak of requests run at the same time.
+    pub max_busy: usize,
+    /// Times of crashes caused by poison requests, oldest first.
+    pub crashes: Vec<Instant>,
+    /// Start time and path of each poison request, oldest first.
+    pub poison_requests: Vec<(Instant, String)>,
 }
 
 struct State {
     mode: Mode,
-    work: Duration,
-    next: Option<Next>,
+    service_time: Duration,
+    nested: Option<Nested>,
     busy: usize,
     ledger: Ledger,
     tasks: Vec<AbortHandle>,
-    /// How often its process was ended.
+    /// Number of kills and crashes; tells a pending restart that it is out of date.
     kills: u64,
 }
 
-/// A request as far as an upstream cares.
+/// The parts of a request that an upstream uses.
 struct Request {
     path: String,
     work: Option<String>,
@@ -147,8 +147,8 @@
         let address = socket.local_addr()?;
         let state = State {
             mode: Mode::Normal,
-            work: settings.work,
-            next: None,
+            service_time: settings.service_time,
+            nested: None,
             busy: 0,
             ledger: Ledger::default(),
             tasks: Vec::new(),
@@ -161,46 +161,46 @@
         Ok(upstream)
     }
 
-    /// Returns the address it listens at.
+    /// Returns the listen address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Changes how it behaves.
+    /// Sets how requests are handled from now on.
     pub fn set_mode(&self, mode: Mode) {
         self.lock().mode = mode;
     }
 
-    /// Changes the time a request takes.
-    pub fn set_work(&self, work: Duration) {
-        self.lock().work = work;
+    /// Sets the time to run one request.
+    pub fn set_service_time(&self, service_time: Duration) {
+        self.lock().service_time = service_time;
     }
 
-    /// Has each request cause a further call before it is answered.
-    pub fn set_next(&self, next: Next) {
-        self.lock().next = Some(next);
+    /// Makes each request send a nested call before it is answered.
+    pub fn set_nested(&self, nested: Nested) {
+        self.lock().nested = Some(nested);
     }
 
-    /// Closes the listener and every connection, as a killed process would.
+    /// Closes the listener and every connection, as if the process was killed.
     pub fn kill(&self) {
         let mut state = self.lock();
         state.kills += 1;
         state.tasks.drain(..).for_each(|task| task.abort());
     }
 
-    /// Ends the process, and starts it again after a while unless it is killed meanwhile.
-    fn fall(&self) {
+    /// Simulates a crash, and restarts after [`RESTART_DELAY`] unless killed meanwhile.
+    fn crash(&self) {
         let server = self.clone();
         tokio::spawn(async move {
-            server.lock().ledger.ends.push(Instant::now());
+            server.lock().ledger.crashes.push(Instant::now());
             server.kill();
             let kills = server.lock().kills;
-            sleep(RESTART).await;
+            sleep(RESTART_DELAY).await;
             while server.lock().kills == kills {
                 if let Ok(listener) = TcpListener::bind(server.address).await {
                     return server.serve_on(listener);
                 }
-                sleep(RELISTEN).await;
+                sleep(REBIND_INTERVAL).await;
             }
         });
     }
@@ -210,12 +210,12 @@
         self.lock().tasks.push(task.abort_handle());
     }
 
-    /// Returns what it has done.
+    /// Returns a copy of the ledger.
     pub fn ledger(&self) -> Ledger {
         self.lock().ledger.clone()
     }
 
-    /// Returns the number of requests being run.
+    /// Returns the number of requests in flight.
     pub fn busy(&self) -> usize {
         self.lock().busy
     }
@@ -224,7 +224,7 @@
         while let Ok((stream, _)) = listener.accept().await {
             let server = self.clone();
             let task = tokio::spawn(async move {
-                // A connection that breaks is the caller's business.
+                // An I/O error only ends this connection; the client sees it too.
                 let _ = server.serve(stream).await;
             });
             let mut state = self.lock();
@@ -248,7 +248,7 @@
                 _ => {}
             }
             let status = self.run(&request).await;
-            let size = self.settings.answer;
+            let size = self.settings.answer_bytes;
             match mode {
                 Mode::Silent => std::future::pending().await,
                 Mode::CloseAfter => return Ok(()),
@@ -256,11 +256,11 @@
                     respond(&mut stream, &request, status, size, size / 2).await?;
                     return Ok(());
                 }
-                Mode::Double => {
+                Mode::Duplicate => {
                     respond(&mut stream, &request, status, size, size).await?;
                     respond(&mut stream, &request, status, size, size).await?;
                 }
-                Mode::Cross => {
+                Mode::WrongId => {
                     let other = Request { id: Some("0".to_owned()), ..request };
                     respond(&mut stream, &other, status, size, size).await?;
                 }
@@ -270,28 +270,28 @@
         Ok(())
     }
 
-    /// Runs one request and returns the status of its answer.
+    /// Runs one request and returns the status line of its response.
     async fn run(&self, request: &Request) -> &'static str {
-        let Some(busy) = Busy::begin(self, request) else { return "503 Shed" };
-        if request.path.ends_with(FATAL) {
-            self.lock().ledger.fatal.push((Instant::now(), request.path.clone()));
-            sleep(FATAL_WORK).await;
-            self.fall();
+        let Some(run) = Run::begin(self, request) else { return "503 Shed" };
+        if request.path.ends_with(POISON_SUFFIX) {
+            self.lock().ledger.poison_requests.push((Instant::now(), request.path.clone()));
+            sleep(CRASH_DELAY).await;
+            self.crash();
             std::future::pending::<()>().await;
         }
-        let work = self.lock().work;
-        if !work.is_zero() {
-            sleep(work).await;
+        let service_time = self.lock().service_time;
+        if !service_time.is_zero() {
+            sleep(service_time).await;
         }
         let mut status = "200 OK";
-        let next = self.lock().next.clone();
-        if let Some(next) = next {
+        let nested = self.lock().nested.clone();
+        if let Some(nested) = nested {
             let deadline = request.deadline_ms.as_deref().and_then(|t| t.parse().ok());
-            let answer = caller::get_once(next.node, &next.path, deadline).await;
-            let whole = answer.is_ok_and(|a| a.status == 200);
-            status = if whole { "200 OK" } else { "502 Failed" };
+            let answer = caller::get_once(nested.node, &nested.path, deadline).await;
+            let succeeded = answer.is_ok_and(|a| a.status == 200);
+            status = if succeeded { "200 OK" } else { "502 Failed" };
         }
-        busy.finish();
+        run.finish();
         status
     }
 
@@ -300,12 +300,12 @@
     }
 }
 
-/// A request being run, counted while it exists.
-struct Busy<'a> {
+/// Guard of a request in flight; it occupies a slot until dropped.
+struct Run<'a> {
     upstream: &'a Upstream,
 }
 
-impl<'a> Busy<'a> {
+impl<'a> Run<'a> {
     fn begin(upstream: &'a Upstream, request: &Request) -> Option<Self> {
         let mut state = upstream.lock();
         if state.busy >= upstream.settings.slots {
@@ -313,14 +313,14 @@
             return None;
         }
         state.busy += 1;
-        state.ledger.most_busy = state.ledger.most_busy.max(state.busy);
+        state.ledger.max_busy = state.ledger.max_busy.max(state.busy);
         state.ledger.runs += 1;
         if let Some(work) = &request.work {
-            *state.ledger.begun.entry(work.clone()).or_default() += 1;
+            *state.ledger.runs_by_work.entry(work.clone()).or_default() += 1;
             state.ledger.starts.push((Instant::now(), work.clone()));
         }
         drop(state);
-        Some(Busy { upstream })
+        Some(Run { upstream })
     }
 
     fn finish(self) {
@@ -328,13 +328,13 @@
     }
 }
 
-impl Drop for Busy<'_> {
+impl Drop for Run<'_> {
     fn drop(&mut self) {
         self.upstream.lock().busy -= 1;
     }
 }
 
-/// Reads one request with its body; none at the end of the connection.
+/// Reads one request and discards its body; `None` at the end of the connection.
 async fn read(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> io::Result<Option<Request>> {
     loop {
         if let Some((request, length)) = parse(buffer)? {
@@ -352,9 +352,9 @@
     }
 }
 
-/// Parses a head; returns the request and its length with the body.
+/// Parses a request head; returns the request and its length including the body.
 fn parse(buffer: &[u8]) -> io::Result<Option<(Request, usize)>> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADER_LIMIT];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
     let status = head.parse(buffer).map_err(io::Error::other)?;
     let httparse::Status::Complete(end) = status else { return Ok(None) };
@@ -365,14 +365,14 @@
     let body = find("content-length").and_then(|text| text.parse().ok()).unwrap_or(0usize);
     let request = Request {
         path: head.path.unwrap_or_default().to_owned(),
-        work: find(WORK),
+        work: find(WORK_HEADER),
         id: find("baobab-id"),
         deadline_ms: find("baobab-deadline-ms"),
     };
     Ok(Some((request, end + body)))
 }
 
-/// Writes an answer that declares `declared` bytes and has `written`.
+/// Writes a response with `content-length: declared` and `written` bytes of body.
 async fn respond(
     stream: &mut TcpStream,
     request: &Request,
@@ -382,8 +382,9 @@
 ) -> io::Result<()> {
     let id = request.id.as_ref().map(|id| format!("baobab-id: {id}\r\n")).unwrap_or_default();
     let work = request.work.as_deref().unwrap_or("");
-    let head =
-        format!("HTTP/1.1 {status}\r\ncontent-length: {declared}\r\n{id}{WORK}: {work}\r\n\r\n");
+    let head = format!(
+        "HTTP/1.1 {status}\r\ncontent-length: {declared}\r\n{id}{WORK_HEADER}: {work}\r\n\r\n"
+    );
     let mut answer = head.into_bytes();
     answer.resize(answer.len() + written, b'x');
     stream.write_all(&answer).await
