--- a/crates/baobabctl/tests/fleet.rs
+++ b/crates/baobabctl/tests/fleet.rs
@@ -55,7 +55,7 @@
 /// Serves `fleet` in response to one HTTP request; returns the address.
 fn serve(fleet: &Value) -> String {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("loopback has ports");
-    let address = listener.local_addr().expect("it is bound").to_string();
+    let address = listener.local_addr().expect("the listener is bound").to_string();
     let text = fleet.to_string();
     thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("a client connects");
@@ -78,7 +78,7 @@
     let mut command = Command::new(env!("CARGO_BIN_EXE_baobabctl"));
     let output = command.args(["status", "--node", &address]).args(flags).output();
     let output = output.expect("the program starts");
-    let text = String::from_utf8(output.stdout).expect("it prints text");
+    let text = String::from_utf8(output.stdout).expect("the output is UTF-8");
     (output.status.code(), text.lines().map(str::to_owned).collect())
 }
 
--- a/crates/baobabctl/tests/output.rs
+++ b/crates/baobabctl/tests/output.rs
@@ -25,12 +25,12 @@
         .expect("the program starts");
     let mut reader = BufReader::new(child.stdout.take().expect("its output is piped"));
     let mut first = String::new();
-    reader.read_line(&mut first).expect("there is a line");
+    reader.read_line(&mut first).expect("the command prints a line");
     drop(reader);
     let mut errors = String::new();
     let mut stderr = child.stderr.take().expect("its errors are piped");
     stderr.read_to_string(&mut errors).expect("errors are text");
-    let status = child.wait().expect("it ends");
+    let status = child.wait().expect("the process ends");
     assert!(!first.is_empty());
     assert_eq!((status.code(), errors.as_str()), (Some(0), ""));
 }
--- a/crates/baobabrelayd/tests/poison_request.rs
+++ b/crates/baobabrelayd/tests/poison_request.rs
@@ -37,7 +37,7 @@
         ("services/counts", Some(r#"{"profile": "p"}"#)),
     ]);
     mesh.wait_in_force(revision, TIMEOUT).expect("the first version comes into force");
-    mesh.wait_upstreams("counts", NODES, TIMEOUT).expect("the nodes meet");
+    mesh.wait_upstreams("counts", NODES, TIMEOUT).expect("the nodes discover each other");
     mesh
 }
 
--- a/crates/baobabrelayd/tests/process.rs
+++ b/crates/baobabrelayd/tests/process.rs
@@ -42,7 +42,7 @@
         ("services/shelfview", Some(r#"{"profile": "p"}"#)),
     ]);
     mesh.wait_in_force(revision, TIMEOUT).expect("the first version comes into force");
-    mesh.wait_upstreams("paydesk", count, TIMEOUT).expect("the nodes meet");
+    mesh.wait_upstreams("paydesk", count, TIMEOUT).expect("the nodes discover each other");
     mesh
 }
 
@@ -101,10 +101,11 @@
     let task = mesh
         .runtime()
         .spawn(async move { Caller::new(entry).call(&Call::post("/paydesk/pay", "w")).await });
-    mesh.wait(TIMEOUT, |mesh| runs(mesh, "w") == 1).expect("the payment is begun");
+    mesh.wait(TIMEOUT, |mesh| runs(mesh, "w") == 1).expect("the call has started");
     let serving = (1..3).find(|&i| mesh.spots[i].upstream.ledger().runs == 1);
     mesh.kill_node(serving.expect("one upstream has it")).expect("the process can be killed");
-    let answer = mesh.runtime().block_on(task).expect("the task ends").expect("an answer comes");
+    let answer =
+        mesh.runtime().block_on(task).expect("the task ends").expect("the entry node answers");
     assert_eq!((answer.outcome(), runs(&mesh, "w")), ("unknown", 1));
 }
 
@@ -117,7 +118,7 @@
     let task = mesh
         .runtime()
         .spawn(async move { Caller::new(entry).call(&Call::post("/paydesk/pay", "w")).await });
-    mesh.wait(TIMEOUT, |mesh| runs(mesh, "w") == 1).expect("the payment is begun");
+    mesh.wait(TIMEOUT, |mesh| runs(mesh, "w") == 1).expect("the call has started");
     mesh.kill_node(0).expect("the process can be killed");
     assert!(mesh.runtime().block_on(task).expect("the task ends").is_err());
     mesh.spots[1].upstream.set_mode(Mode::Normal);
@@ -178,7 +179,7 @@
     let task = mesh
         .runtime()
         .spawn(async move { Caller::new(entry).call(&Call::post("/paydesk/pay", "w")).await });
-    mesh.wait(TIMEOUT, |mesh| runs(mesh, "w") == 1).expect("the payment is begun");
+    mesh.wait(TIMEOUT, |mesh| runs(mesh, "w") == 1).expect("the call has started");
     mesh.signal_node(0, Signal::TERM).expect("the process can be stopped");
     assert_eq!(mesh.stop_node(0).expect("the process can be stopped"), Some(0));
     let answer = mesh.runtime().block_on(task).expect("the task ends");
@@ -194,7 +195,7 @@
 
 /// Guards against a restarted node that puts an old revision of a stale platform in force.
 #[test]
-fn a_restarted_node_learns_the_newest_version_from_its_peers() {
+fn a_restarted_node_learns_the_newest_from_its_peers() {
     let mut mesh = mesh(2, Duration::ZERO);
     let old = mesh.revision(0).expect("the node answers");
     let newest = mesh.platform.publish(&[("profiles/q", Some("{}"))]);
