--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -36,7 +36,7 @@
     Normal,
     /// Answers every request with status 500 at once.
     Down,
-    /// Serves the configuration of the moment at which this mode was set.
+    /// Serves the configuration that was newest when this mode was set.
     Stale,
     /// Answers after this delay.
     Slow(Duration),
--- a/crates/standins/src/queueing.rs
+++ b/crates/standins/src/queueing.rs
@@ -1,11 +1,8 @@
-//! A model of the served systems on a virtual clock: callers, entry nodes, upstreams with slots.
+//! Discrete-event queueing model of callers, entry nodes and upstreams with a limited number of slots.
 //!
-//! It exists to compare ways of deciding over many seeds before one of them is tried on real
-//! processes. The product's own decisions (`policy`) stand in it unchanged beside plain ones; only
-//! the sockets are missing. A day of a hundred upstreams takes some seconds.
-//!
-//! Left out, and so never the reason for a difference here: the processor time of nodes, links and
-//! their queues, membership, and changes of the configuration.
+//! Compares load-balancing and queueing strategies over many seeds. The decisions are those of
+//! `policy`, or plain alternatives to them. Not modelled: CPU time of nodes, bandwidth and queues
+//! of links, membership, and configuration changes.
 
 mod callers;
 mod choice;
@@ -22,7 +19,7 @@
     },
 };
 
-/// Plays one day.
+/// Runs the model until every call has ended; the same seed gives the same report.
 ///
 /// ```
 /// use standins::queueing::{Settings, simulate};
--- a/crates/standins/src/queueing/callers.rs
+++ b/crates/standins/src/queueing/callers.rs
@@ -1,4 +1,4 @@
-//! What callers do: they begin, come back when they are refused, and note what became of them.
+//! Callers: arrival process, retries after refusals and failures, and outcome counters.
 
 use model::time::Time;
 use policy::{
@@ -14,10 +14,11 @@
     state::{Call, CallKey, OfferKey, Reply},
 };
 
-/// Worth of a late answer, as a part of that of one in time.
+/// Utility of a late answer, as a share of the utility of one in time.
 const LATE_UTILITY: f64 = 0.3;
 
 impl Simulation<'_> {
+    /// Starts a caller of a route and schedules the next one (a Poisson process).
     pub(super) fn start_caller(&mut self, index: usize) {
         let elapsed = self.now.since(Time::default());
         if elapsed >= self.settings.span {
@@ -54,14 +55,14 @@
 
     pub(super) fn end_attempt(&mut self, key: CallKey, reply: Reply) {
         let (route, now) = (self.route(key), self.now);
-        let Call { begun, received, deadline, attempt, refusals, .. } = self.calls[key.0];
+        let Call { started, received, deadline, attempt, refusals, .. } = self.calls[key.0];
         let counters = &mut self.report.routes[self.calls[key.0].route];
-        let took = now.since(begun);
+        let elapsed = now.since(started);
         let refusals = refusals + u32::from(reply == Reply::Refused);
         let after = match reply {
             Reply::Answered => {
-                counters.times.push(took);
-                let in_time = took <= route.objective;
+                counters.times.push(elapsed);
+                let in_time = elapsed <= route.objective;
                 counters.in_time += u64::from(in_time);
                 counters.late += u64::from(!in_time);
                 counters.utility +=
@@ -87,6 +88,7 @@
         }
     }
 
+    /// Returns the delay before the next attempt, as a refusal's `retry-after` would say.
     fn retry_after(&mut self, key: CallKey) -> Duration {
         let (call, route) = (&self.calls[key.0], self.route(key));
         let latency = self.entries[call.entry].latencies[call.route];
@@ -94,7 +96,7 @@
             received: self.now,
             deadline: call.deadline,
             attempt: Attempt::First,
-            elapsed: self.now.since(call.begun),
+            elapsed: self.now.since(call.started),
             objective: route.objective,
             expected: latency.map_or(route.objective / 2, |latency| latency.mean()),
         };
@@ -102,8 +104,8 @@
     }
 
     fn retry_call(&mut self, key: CallKey, refusals: u32, after: Duration) {
-        let Call { route, entry, begun, deadline, attempt, .. } = self.calls[key.0];
-        let first = Call::new(route, entry, None, begun, deadline);
+        let Call { route, entry, started, deadline, attempt, .. } = self.calls[key.0];
+        let first = Call::new(route, entry, None, started, deadline);
         let call = Call { attempt: attempt + 1, refusals, ..first };
         self.add_call(call, after);
     }
--- a/crates/standins/src/queueing/choice.rs
+++ b/crates/standins/src/queueing/choice.rs
@@ -1,4 +1,4 @@
-//! Which upstream gets a call.
+//! Choice of the upstream for a call.
 
 use model::time::Time;
 use policy::{
@@ -10,7 +10,7 @@
 
 use super::settings::Choice;
 
-/// An upstream as an entry node sees it.
+/// An upstream as its entry node knows it.
 pub(super) struct Target<'a> {
     pub(super) record: &'a Record,
     pub(super) slots: usize,
@@ -18,7 +18,9 @@
     pub(super) tried: bool,
 }
 
-/// Returns the index of the upstream that gets the call number `call_number`, if one is untried.
+/// Returns the index of the target for a call, or `None` if all were tried.
+///
+/// `call_number` is the node's call counter, for round-robin.
 pub(super) fn choose(
     choice: Choice,
     targets: &[Target<'_>],
--- a/crates/standins/src/queueing/report.rs
+++ b/crates/standins/src/queueing/report.rs
@@ -1,44 +1,44 @@
-//! What came of a day.
+//! Results of a run.
 
 use std::time::Duration;
 
-/// What became of the callers of one route, or of all.
+/// Outcome counters of the callers of one route, or of all routes.
 #[derive(Clone, Debug, Default)]
 pub struct Counters {
-    /// Callers.
+    /// Callers that started.
     pub callers: u64,
     /// Answered within the objective.
     pub in_time: u64,
-    /// Answered later.
+    /// Answered after the objective.
     pub late: u64,
     /// Refused at their last attempt.
     pub refused: u64,
-    /// Ended without an answer in any other way.
+    /// Ended without an answer other than by a refusal.
     pub failed: u64,
-    /// Of the refused, those who were refused more than once.
+    /// The part of `refused` that was refused more than once.
     pub refused_again: u64,
-    /// Refusals told later than an eighth of the objective.
+    /// Refusals received later than an eighth of the objective after the attempt.
     pub late_refusals: u64,
-    /// What all answers in time would be utility.
+    /// Utility if every caller was answered in time.
     pub max_utility: f64,
-    /// What the answers are utility.
+    /// Utility of the answers.
     pub utility: f64,
-    /// Times from the first attempt to the answer.
+    /// Latencies of the answers, from the first attempt.
     pub times: Vec<Duration>,
 }
 
 impl Counters {
-    /// Returns the callers whose end was noted.
+    /// Returns the number of callers with an outcome.
     pub fn ended(&self) -> u64 {
         self.in_time + self.late + self.refused + self.failed
     }
 
-    /// Returns the share of what all answers in time would be utility; 1 where nothing is max_utility.
+    /// Returns the utility as a share of the maximum, 1 if that is zero.
     pub fn utility_share(&self) -> f64 {
         if self.max_utility > 0.0 { self.utility / self.max_utility } else { 1.0 }
     }
 
-    /// Returns the time within which the share `part` of the answers came; none without answers.
+    /// Returns the latency quantile for `share` from 0 to 1, or `None` without answers.
     pub fn quantile(&self, share: f64) -> Option<Duration> {
         let mut times = self.times.clone();
         times.sort_unstable();
@@ -60,26 +60,26 @@
     }
 }
 
-/// What came of a day.
+/// Results of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Report {
-    /// By route, callers' calls only.
+    /// Counters by route; nested calls are not counted.
     pub routes: Vec<Counters>,
-    /// Arrivals at upstreams, calls of upstreams included.
+    /// Requests that upstreams began to run, including nested calls.
     pub arrivals: u64,
-    /// Arrivals that were not the first of their call.
+    /// The part of `arrivals` that was not the first of its call: retries and hedged requests.
     pub retries: u64,
 }
 
 impl Report {
-    /// Returns the sum over all routes.
+    /// Returns the counters summed over all routes.
     pub fn total(&self) -> Counters {
         let mut total = Counters::default();
         self.routes.iter().for_each(|counters| total.add(counters));
         total
     }
 
-    /// Returns the lowest share among routes that anything is max_utility for.
+    /// Returns the lowest utility share among routes with utility, 1 without such a route.
     pub fn min_utility_share(&self) -> f64 {
         let rated = self.routes.iter().filter(|counters| counters.max_utility > 0.0);
         rated.map(Counters::utility_share).fold(1.0, f64::min)
--- a/crates/standins/src/queueing/settings.rs
+++ b/crates/standins/src/queueing/settings.rs
@@ -1,36 +1,35 @@
-//! What a day of the model consists of.
+//! Settings of the queueing model: topology, load, faults and strategy.
 
 use policy::{budget, retry::Kind};
 use std::time::Duration;
 
-/// Settings of a day.
+/// Settings of a run.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Data centres; upstreams are dealt to them in turn.
+    /// Number of data centres; upstreams are assigned round-robin.
     pub data_centres: usize,
-    /// Services.
+    /// Services, by index.
     pub services: Vec<Service>,
-    /// Routes.
+    /// Routes, by index.
     pub routes: Vec<Route>,
-    /// Time from one instance to another of the same data centre.
+    /// One-way delay between instances of one data centre.
     pub local_delay: Duration,
-    /// The same to another data centre.
+    /// One-way delay between data centres.
     pub remote_delay: Duration,
-    /// Time in which callers begin.
+    /// Time during which new callers arrive; the run ends when all have an outcome.
     pub span: Duration,
-    /// Times at which more callers come.
+    /// Periods with a higher arrival rate.
     pub bursts: Vec<Burst>,
-    /// Troubles of upstreams.
+    /// Degradations of upstreams.
     pub faults: Vec<Fault>,
-    /// Bound on repeats.
+    /// Retry budget.
     pub budget: budget::Settings,
-    /// How nodes decide.
+    /// Strategy of the nodes.
     pub strategy: Strategy,
 }
 
 impl Default for Settings {
-    /// Twelve upstreams in three data centres with up to nine tenths of their slots in use, as
-    /// the first users run them on a busy day.
+    /// Twelve upstreams in three data centres, with up to nine tenths of their slots in use.
     fn default() -> Self {
         let ms = Duration::from_millis;
         let service = Service { upstreams: 4, slots: 11, slowness: vec![0.7, 1.0, 1.3] };
@@ -97,128 +96,128 @@
     }
 }
 
-/// A service.
+/// A service and its upstreams.
 #[derive(Clone, Debug)]
 pub struct Service {
-    /// Its upstreams.
+    /// Number of upstreams.
     pub upstreams: usize,
-    /// Slots of each.
+    /// Slots of each upstream: requests that it runs at the same time.
     pub slots: usize,
-    /// How many times longer than the mean an upstream works; dealt in turn.
+    /// Factors on the service time, assigned to the upstreams round-robin; empty for 1.
     pub slowness: Vec<f64>,
 }
 
-/// Calls of one kind.
+/// A kind of call with its load and limits.
 #[derive(Clone, Debug)]
 pub struct Route {
     /// Index of the service.
     pub service: usize,
-    /// Callers a second, over all instances.
+    /// Mean arrivals of callers per second, over all entry nodes.
     pub per_second: f64,
-    /// Mean time of work.
+    /// Mean service time.
     pub service_time: Duration,
-    /// Spread of the log-normal time of work.
+    /// Standard deviation of the logarithm of the service time, which is log-normal.
     pub spread: f64,
-    /// Time from the first attempt within which an answer is in time.
+    /// Time since the first attempt within which an answer is in time.
     pub objective: Duration,
-    /// Time after which a caller gives up.
+    /// Time since the first attempt after which a caller gives up.
     pub deadline: Duration,
-    /// Urgency; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Whether it may run more than once.
+    /// Whether a call is idempotent.
     pub kind: Kind,
-    /// Attempts of one caller.
+    /// Maximum attempts of a caller.
     pub attempts: u32,
-    /// What an answer in time is utility; a late one is utility three tenths of that.
+    /// Utility of an answer in time; a late one has three tenths of it.
     pub utility: f64,
-    /// Calls that its upstream makes while it works.
+    /// Nested calls that its upstream makes during a run.
     pub nested: Option<Nested>,
 }
 
-/// Calls that an upstream makes.
+/// Nested calls of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Nested {
-    /// Index of their route.
+    /// Index of the route they use.
     pub route: usize,
-    /// How many at the same time.
+    /// Number of calls, made in parallel.
     pub count: u32,
-    /// Share of the runs that make them.
+    /// Share of runs that make them.
     pub probability: f64,
 }
 
-/// A time in which more callers come.
+/// A period with a higher arrival rate.
 #[derive(Clone, Copy, Debug)]
 pub struct Burst {
-    /// When it begins, from the start.
+    /// Start, from the start of the run.
     pub begin: Duration,
-    /// When it ends.
+    /// End, from the start of the run.
     pub end: Duration,
-    /// How many times as many callers come.
+    /// Factor on the arrival rate.
     pub factor: f64,
 }
 
-/// A degradation of some upstreams of a service.
+/// A period in which some upstreams of a service are degraded.
 #[derive(Clone, Copy, Debug)]
 pub struct Fault {
-    /// When it begins, from the start.
+    /// Start, from the start of the run.
     pub begin: Duration,
-    /// When it ends.
+    /// End, from the start of the run.
     pub end: Duration,
     /// Index of the service.
     pub service: usize,
-    /// Upstreams that it strikes, the first ones of the service.
+    /// Number of affected upstreams, the first ones of the service.
     pub upstreams: usize,
-    /// What happens to them.
+    /// How the upstreams are degraded.
     pub degradation: Degradation,
 }
 
-/// What happens to an upstream.
+/// How an upstream is degraded.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Degradation {
-    /// It works so many times as long.
+    /// Multiplies the service time by this factor.
     Slow(f64),
-    /// It fails this share of its calls.
+    /// Fails this share of its runs.
     Failing(f64),
-    /// It runs calls and loses this share of the answers.
+    /// Completes its runs but loses this share of the answers.
     LostAnswers(f64),
 }
 
-/// How nodes decide.
+/// How nodes balance load and queue calls.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Strategy {
-    /// Which upstream gets a call.
+    /// Load-balancing rule.
     pub choice: Choice,
-    /// Who waits for a slot, and how long.
+    /// Queue discipline at upstreams.
     pub discipline: Discipline,
-    /// A mechanism that is switched off, to see what it is utility.
+    /// Disabled mechanism, to measure its effect.
     pub without: Option<Mechanism>,
 }
 
-/// A part of how the product decides.
+/// A mechanism of the nodes that can be disabled.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Mechanism {
-    /// Upstreams that fail are seen as failing, and ejected after failures in a row.
+    /// Failures lower an upstream's weight, and consecutive ones eject it (outlier ejection).
     FailureTracking,
-    /// Calls of upstreams go before callers' for half of the slots.
+    /// Nested calls precede callers' calls for half of the slots.
     NestedFirst,
-    /// Serving nodes tell how many calls they hold.
+    /// Serving nodes report their load in replies.
     LoadReports,
-    /// Further upstreams are callers after a refusal.
+    /// A refused call is offered to further upstreams.
     RefusalRetries,
-    /// More urgent calls go first.
+    /// More urgent calls leave the queue first.
     Priority,
-    /// A second attempt is made beside a silent one.
+    /// A second attempt starts if the first gets no reply in time (hedged request).
     Hedging,
-    /// Calls wait for a slot for a short time only.
+    /// Waiting for a slot is limited to a short time instead of the deadline.
     BoundedWaits,
-    /// Upstreams that take longer than others get less.
+    /// Upstreams slower than others get fewer calls.
     Slowness,
-    /// Callers that come back go before new ones.
+    /// Callers that retry after a refusal precede new ones.
     ClientRetries,
 }
 
 impl Mechanism {
-    /// Every mechanism, with the name that the command line takes.
+    /// Every mechanism, by its name on the command line.
     pub const ALL: [(&str, Mechanism); 9] = [
         ("failures", Mechanism::FailureTracking),
         ("half", Mechanism::NestedFirst),
@@ -231,10 +230,10 @@
         ("returning", Mechanism::ClientRetries),
     ];
 
-    /// Finds a mechanism by its name.
+    /// Returns the mechanism with this command-line name.
     ///
     /// ```
-    /// use standins::served::Mechanism;
+    /// use standins::queueing::Mechanism;
     /// assert_eq!(Mechanism::parse("half"), Some(Mechanism::NestedFirst));
     /// assert_eq!(Mechanism::parse("magic"), None);
     /// ```
@@ -243,24 +242,24 @@
     }
 }
 
-/// Which upstream gets a call.
+/// Load-balancing rule of the entry nodes.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Choice {
-    /// The one with most room, as the product decides.
+    /// Most free capacity, as [`policy::placement`] decides.
     #[default]
     Capacity,
-    /// Each in turn.
+    /// Round-robin.
     RoundRobin,
-    /// The one with fewest calls of this node in flight.
+    /// Fewest calls of this entry node in flight.
     LeastInFlight,
 }
 
-/// Who waits for a slot, and how long.
+/// Queue discipline of an upstream's slots.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Discipline {
-    /// By rank, and for a short time, as the product decides.
+    /// By rank and for a limited time, as [`policy::urgency`] decides.
     #[default]
     Ranked,
-    /// By arrival, until the deadline.
+    /// By arrival, until the call's deadline.
     Fifo,
 }
--- a/crates/standins/src/queueing/simulation.rs
+++ b/crates/standins/src/queueing/simulation.rs
@@ -1,6 +1,6 @@
-//! The state of a day and the one way in which it changes.
+//! State and event loop of the queueing model.
 //!
-//! Invariant: everything that happens is a [`Event`] taken off the queue by [`Simulation::apply`].
+//! Invariant: state changes only when [`Simulation::apply`] handles an [`Event`] from the queue.
 
 use model::time::Time;
 use policy::{
@@ -24,43 +24,43 @@
     state::{Call, CallKey, EntryNode, Offer, OfferKey, Reply, State, Upstream, upstreams},
 };
 
-/// Most upstreams that a call is offered to, as at the product's entry nodes.
+/// Maximum number of upstreams that a call is offered to, as in the proxy.
 const MAX_OFFERS: usize = 4;
 
-/// Most upstreams that a call may have reached.
+/// Maximum number of upstreams that may run a call.
 const MAX_REACHED: u32 = 3;
 
-/// Most calls that wait for a slot of one upstream.
+/// Maximum length of an upstream's queue.
 const MAX_QUEUE: usize = 64;
 
-/// Time from an entry node to the upstream beside it.
+/// One-way delay between an entry node and its colocated upstream.
 const COLOCATED_DELAY: Duration = Duration::from_micros(50);
 
-/// Part of its work that an upstream does before a call fails.
+/// Share of the service time after which a failing run fails.
 const FAILED_WORK_SHARE: f64 = 0.3;
 
-/// Something that is due.
+/// A scheduled event.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(super) enum Event {
-    /// A new caller of a route.
+    /// A caller of a route starts.
     NewCaller(usize),
-    /// A caller's attempt is at its entry node.
+    /// A call arrives at its entry node.
     Receive(CallKey),
-    /// An offer is at the serving node.
+    /// An offer arrives at the serving node.
     Arrive(OfferKey),
-    /// An offer has waited long enough.
+    /// An offer's time in the queue is over.
     Expire(OfferKey),
-    /// An upstream's own work on an offer is done.
+    /// An upstream's own service time for an offer is over.
     ServiceDone(OfferKey),
-    /// The serving node's reply is at the entry node.
+    /// The serving node's reply arrives at the entry node.
     Reply(OfferKey, Reply),
-    /// An offer has been silent for long.
+    /// An offer's hedge delay is over.
     Hedge(OfferKey),
-    /// A call's time is over.
+    /// A call's deadline passes.
     Deadline(CallKey),
 }
 
-/// All state of a day.
+/// State of a run.
 pub(super) struct Simulation<'a> {
     pub(super) settings: &'a Settings,
     pub(super) random: SmallRng,
@@ -81,7 +81,7 @@
             records: upstreams.iter().map(|_| Record::new(Time::default())).collect(),
             latencies: vec![None; settings.routes.len()],
             windows: vec![Window::default(); settings.services.len()],
-            calls: 0,
+            choices: 0,
         };
         let entries = upstreams.iter().map(|_| node()).collect();
         let report = Report {
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Plays until nothing more is due.
+    /// Runs until the event queue is empty.
     pub(super) fn run(mut self) -> Report {
         for route in 0..self.settings.routes.len() {
             if self.settings.routes[route].per_second > 0.0 {
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Tells whether a part of the product's way of deciding is switched off.
+    /// Returns whether the strategy disables a mechanism.
     pub(super) fn is_disabled(&self, mechanism: Mechanism) -> bool {
         self.settings.strategy.without == Some(mechanism)
     }
@@ -146,7 +146,7 @@
     fn receive(&mut self, key: CallKey) {
         let (now, route) = (self.now, self.route(key));
         let origin = self.origin(key);
-        let is_known = !self.is_disabled(Mechanism::ClientRetries);
+        let ranks_retries = !self.is_disabled(Mechanism::ClientRetries);
         let call = &mut self.calls[key.0];
         call.received = now;
         let deadline = call.deadline;
@@ -157,8 +157,12 @@
         let timing = Timing {
             received: now,
             deadline,
-            attempt: if call.attempt > 1 && is_known { Attempt::Retry } else { Attempt::First },
-            elapsed: now.since(call.begun),
+            attempt: if call.attempt > 1 && ranks_retries {
+                Attempt::Retry
+            } else {
+                Attempt::First
+            },
+            elapsed: now.since(call.started),
             objective: route.objective,
             expected,
         };
@@ -173,14 +177,14 @@
         self.offer(key);
     }
 
-    /// Returns on whose behalf a call is made.
+    /// Returns whether a call comes from a caller or an upstream's run.
     fn origin(&self, key: CallKey) -> Origin {
         let Some(parent) = self.calls[key.0].parent else { return Origin::Caller };
         let Offer { call, answered, .. } = self.offers[parent.0];
         Origin::Upstream(Parent { rank: self.calls[call.0].rank, answered })
     }
 
-    /// Offers a call to the next upstream, or ends it where none is left.
+    /// Offers a call to the next upstream, or refuses it if none is left.
     fn offer(&mut self, key: CallKey) {
         match self.choose(key) {
             Some(upstream) => self.send(key, upstream),
@@ -191,12 +195,12 @@
     fn choose(&mut self, key: CallKey) -> Option<usize> {
         let call = &self.calls[key.0];
         let route = self.route(key);
-        let own = &self.upstreams[call.entry];
+        let colocated = &self.upstreams[call.entry];
         let of_service: Vec<usize> = (0..self.upstreams.len())
             .filter(|&u| self.upstreams[u].service == route.service)
             .collect();
         let node = &mut self.entries[call.entry];
-        node.calls += 1;
+        node.choices += 1;
         let targets: Vec<Target<'_>> = of_service
             .iter()
             .map(|&u| Target {
@@ -204,14 +208,14 @@
                 slots: self.settings.services[route.service].slots,
                 locality: match &self.upstreams[u] {
                     _ if u == call.entry => Locality::Instance,
-                    other if other.data_centre == own.data_centre => Locality::DataCentre,
+                    other if other.data_centre == colocated.data_centre => Locality::DataCentre,
                     _ => Locality::Remote,
                 },
                 tried: call.offers.iter().any(|o| self.offers[o.0].upstream == u),
             })
             .collect();
         let choice = self.settings.strategy.choice;
-        choice::choose(choice, &targets, route.kind, node.calls, self.now, &mut self.random)
+        choice::choose(choice, &targets, route.kind, node.choices, self.now, &mut self.random)
             .map(|index| of_service[index])
     }
 
@@ -221,7 +225,7 @@
             call: key,
             upstream,
             sent: self.now,
-            begun: self.now,
+            started: self.now,
             pending: 0,
             answered: 0,
             failed: false,
@@ -251,12 +255,12 @@
 
     fn hedge_delay(&self, key: CallKey, upstream: usize) -> Option<Duration> {
         let (call, route) = (&self.calls[key.0], self.route(key));
-        let never = route.kind == Kind::Once || self.is_disabled(Mechanism::Hedging);
-        if never || call.offers.len() > 1 {
+        let is_excluded = route.kind == Kind::Once || self.is_disabled(Mechanism::Hedging);
+        if is_excluded || call.offers.len() > 1 {
             return None;
         }
         let record = &self.entries[call.entry].records[upstream];
-        let due = (call.begun + route.objective).since(self.now);
+        let due = (call.started + route.objective).since(self.now);
         Some(retry::hedge_delay(Hedge {
             latency: self.entries[call.entry].latencies[call.route]
                 .unwrap_or(Estimate::new(due / 3)),
@@ -300,23 +304,24 @@
         self.report.arrivals += 1;
         self.report.retries += u64::from(self.calls[call.0].reached > 0);
         self.calls[call.0].reached += 1;
-        let mut work = self.sample_service_time(route).mul_f64(self.upstreams[upstream].slowness);
+        let mut service_time =
+            self.sample_service_time(route).mul_f64(self.upstreams[upstream].slowness);
         let mut failed = false;
         match self.degradation(upstream) {
-            Some(Degradation::Slow(factor)) => work = work.mul_f64(factor),
+            Some(Degradation::Slow(factor)) => service_time = service_time.mul_f64(factor),
             Some(Degradation::Failing(share)) if self.random.random_bool(share) => {
                 failed = true;
-                work = work.mul_f64(FAILED_WORK_SHARE);
+                service_time = service_time.mul_f64(FAILED_WORK_SHARE);
             }
             _ => {}
         }
         let deadline = self.calls[call.0].deadline;
         let offer = &mut self.offers[key.0];
         offer.state = State::Running;
-        offer.begun = self.now;
+        offer.started = self.now;
         offer.failed = failed;
         offer.pending = 1;
-        self.schedule(work.min(deadline.since(self.now)), Event::ServiceDone(key));
+        self.schedule(service_time.min(deadline.since(self.now)), Event::ServiceDone(key));
         let Some(nested) = route.nested else { return };
         if self.random.random_bool(nested.probability) {
             self.offers[key.0].pending += nested.count;
@@ -357,7 +362,7 @@
         }
     }
 
-    /// Ends a run and gives its slot to the next call.
+    /// Ends a run: frees its slot and sends the reply unless it is lost.
     fn finish(&mut self, key: OfferKey) {
         self.free(key);
         let upstream = self.offers[key.0].upstream;
@@ -372,12 +377,12 @@
     }
 
     fn free(&mut self, key: OfferKey) {
-        let Offer { upstream, begun, .. } = self.offers[key.0];
+        let Offer { upstream, started, .. } = self.offers[key.0];
         self.offers[key.0].state = State::Ended;
         let mut next = self.upstreams[upstream].limiter.finish(
             Ticket(key.0 as u64),
             self.now,
-            Some(self.now.since(begun)),
+            Some(self.now.since(started)),
         );
         while let Some(Ticket(ticket)) = next {
             let waiter = OfferKey(ticket as usize);
@@ -405,8 +410,8 @@
             return;
         }
         self.offers[key.0].replied = true;
-        let took = self.now.since(sent);
-        self.observe(call, upstream, reply, took);
+        let elapsed = self.now.since(sent);
+        self.observe(call, upstream, reply, elapsed);
         let entry = self.calls[call.0].entry;
         if !self.is_disabled(Mechanism::LoadReports) {
             self.entries[entry].records[upstream].update_load(load, self.now);
@@ -420,29 +425,29 @@
         }
     }
 
-    fn observe(&mut self, call: CallKey, upstream: usize, reply: Reply, took: Duration) {
+    fn observe(&mut self, call: CallKey, upstream: usize, reply: Reply, elapsed: Duration) {
         let Call { route, entry, .. } = self.calls[call.0];
         let tracks_failures = !self.is_disabled(Mechanism::FailureTracking);
         let tracks_slowness = !self.is_disabled(Mechanism::Slowness);
         let EntryNode { records, latencies, .. } = &mut self.entries[entry];
         let sample = match reply {
-            Reply::Answered => Sample::Answered(took),
-            Reply::Failed if tracks_failures => Sample::ErrorAnswer(took),
-            Reply::Failed => Sample::Answered(took),
+            Reply::Answered => Sample::Answered(elapsed),
+            Reply::Failed if tracks_failures => Sample::ErrorAnswer(elapsed),
+            Reply::Failed => Sample::Answered(elapsed),
             Reply::Refused => Sample::Refused,
         };
         records[upstream].end(self.now, sample);
         if reply != Reply::Answered {
             return;
         }
-        let latency = latencies[route].get_or_insert(Estimate::new(took));
+        let latency = latencies[route].get_or_insert(Estimate::new(elapsed));
         if tracks_slowness {
-            records[upstream].record_slowness(latency.ratio(took), self.now);
+            records[upstream].record_slowness(latency.ratio(elapsed), self.now);
         }
-        latency.record(took);
+        latency.record(elapsed);
     }
 
-    /// Offers a call again whose last offer failed, or ends it.
+    /// Offers a call again after a failure or refusal, or ends it.
     fn retry_or_end(&mut self, key: CallKey, reply: Reply) {
         let outcome = match reply {
             Reply::Failed => Outcome::Unknown(Doubt::Broken),
@@ -483,7 +488,7 @@
         }
     }
 
-    /// Ends an attempt; what is still on its way for it is cancelled.
+    /// Ends a call and cancels its remaining offers.
     fn end(&mut self, key: CallKey, reply: Reply) {
         if self.calls[key.0].ended {
             return;
@@ -526,7 +531,7 @@
     }
 }
 
-/// Returns `rank` as it is without a mechanism.
+/// Returns `rank` with the effect of a disabled mechanism removed.
 fn adjust(without: Option<Mechanism>, rank: Rank) -> Rank {
     match without {
         Some(Mechanism::NestedFirst) => Rank { class: Class::External, ..rank },
--- a/crates/standins/src/queueing/state.rs
+++ b/crates/standins/src/queueing/state.rs
@@ -1,4 +1,4 @@
-//! What a day's state is made of.
+//! Data types of a run's state.
 
 use model::time::Time;
 use policy::{
@@ -10,15 +10,15 @@
 
 use super::settings::Settings;
 
-/// A call in the arena of calls.
+/// Index into `Simulation::calls`.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(super) struct CallKey(pub(super) usize);
 
-/// An offer in the arena of offers.
+/// Index into `Simulation::offers`.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(super) struct OfferKey(pub(super) usize);
 
-/// What a serving node says of an offer.
+/// A serving node's reply to an offer, and the outcome of a call.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(super) enum Reply {
     Answered,
@@ -26,46 +26,46 @@
     Refused,
 }
 
-/// One attempt of a caller, or a call of an upstream.
+/// One attempt of a caller, or a nested call.
 #[derive(Debug)]
 pub(super) struct Call {
     pub(super) route: usize,
     pub(super) entry: usize,
-    /// The run that makes the call, where it is an upstream's.
+    /// The run that makes the call, if it is nested.
     pub(super) parent: Option<OfferKey>,
-    /// When the caller's first attempt was made.
-    pub(super) begun: Time,
+    /// Time of the caller's first attempt.
+    pub(super) started: Time,
     pub(super) received: Time,
     pub(super) deadline: Time,
-    /// Number of the attempt, from 1.
+    /// Attempt number, from 1.
     pub(super) attempt: u32,
-    /// Refusals of earlier attempts.
+    /// Number of earlier attempts that were refused.
     pub(super) refusals: u32,
     pub(super) rank: Rank,
     pub(super) offers: Vec<OfferKey>,
-    /// Offers without a reply so far.
+    /// Number of offers without a reply.
     pub(super) pending: u32,
     pub(super) reached: u32,
-    /// Whether an offer may have run.
+    /// Whether a failed offer may have run.
     pub(super) may_have_run: bool,
     pub(super) ended: bool,
 }
 
 impl Call {
-    /// Creates a caller's first attempt, or a call of the upstream that works on `parent`.
+    /// Creates a caller's first attempt, or a nested call of the run `parent`.
     pub(super) fn new(
         route: usize,
         entry: usize,
         parent: Option<OfferKey>,
-        begun: Time,
+        started: Time,
         deadline: Time,
     ) -> Self {
         Call {
             route,
             entry,
             parent,
-            begun,
-            received: begun,
+            started,
+            received: started,
             deadline,
             attempt: 1,
             refusals: 0,
@@ -85,16 +85,16 @@
     pub(super) call: CallKey,
     pub(super) upstream: usize,
     pub(super) sent: Time,
-    pub(super) begun: Time,
-    /// Own work and calls that the run still waits for.
+    pub(super) started: Time,
+    /// Number of parts that the run waits for: its own service time and nested calls.
     pub(super) pending: u32,
-    /// Calls of the run that were answered.
+    /// Number of the run's nested calls that were answered.
     pub(super) answered: usize,
     pub(super) failed: bool,
     pub(super) state: State,
-    /// Whether its end is known at the entry node.
+    /// Whether the entry node has received the reply.
     pub(super) replied: bool,
-    /// What the serving node held when it gave its reply.
+    /// Load that the serving node reported with its reply.
     pub(super) load: Load,
 }
 
@@ -109,20 +109,21 @@
 #[derive(Debug)]
 pub(super) struct Upstream {
     pub(super) service: usize,
-    /// Its position among the upstreams of the service.
+    /// Index among the upstreams of its service.
     pub(super) position: usize,
     pub(super) data_centre: usize,
     pub(super) slowness: f64,
     pub(super) limiter: Limiter,
 }
 
-/// An entry node, beside the upstream of the same index.
+/// An entry node, colocated with the upstream of the same index.
 #[derive(Debug)]
 pub(super) struct EntryNode {
     pub(super) records: Vec<Record>,
     pub(super) latencies: Vec<Option<Estimate>>,
     pub(super) windows: Vec<Window>,
-    pub(super) calls: usize,
+    /// Number of offers chosen here, for round-robin.
+    pub(super) choices: usize,
 }
 
 pub(super) fn upstreams(settings: &Settings) -> Vec<Upstream> {
--- a/crates/standins/src/simulation/delivery.rs
+++ b/crates/standins/src/simulation/delivery.rs
@@ -15,7 +15,8 @@
 const HEADER_BYTES: u64 = 330;
 
 impl Net {
-    /// Processes an event, or drops it if its node is dead and defers it if its node is paused.
+    /// Processes an event. A dead node's events are dropped and its calls refused; a paused node's
+    /// events are deferred.
     pub(super) fn dispatch(&mut self, item: Item) {
         let (node, incarnation) = match &item {
             Item::Tick(node, incarnation) => (*node, *incarnation),
--- a/crates/standins/tests/queueing.rs
+++ b/crates/standins/tests/queueing.rs
@@ -1,4 +1,4 @@
-//! The model of the served systems: nobody is lost in it, and it tells good ways from bad ones.
+//! The queueing model: every caller has one outcome, and better strategies give a higher utility.
 
 use standins::queueing::{
     Burst, Choice, Degradation, Discipline, Fault, Mechanism, Report, Route, Settings, Strategy,
@@ -12,31 +12,31 @@
     Duration::from_secs(seconds)
 }
 
-fn short() -> Settings {
+fn base_settings() -> Settings {
     Settings { span: seconds(6), ..Settings::default() }
 }
 
-fn with_trouble(degradation: Degradation) -> Settings {
+fn with_degradation(degradation: Degradation) -> Settings {
     let fault = Fault { begin: seconds(1), end: seconds(6), service: 0, upstreams: 1, degradation };
     Settings { faults: vec![fault], ..loaded(0.8) }
 }
 
 fn loaded(factor: f64) -> Settings {
-    let base = short();
+    let base = base_settings();
     let routes = base.routes.iter();
     let routes = routes.map(|r| Route { per_second: r.per_second * factor, ..r.clone() }).collect();
     Settings { routes, ..base }
 }
 
-/// Returns the mean share earned over some seeds.
-fn earned(settings: &Settings, strategy: Strategy) -> f64 {
+/// Returns the mean utility share over [`SEEDS`] seeds.
+fn mean_utility_share(settings: &Settings, strategy: Strategy) -> f64 {
     let settings = Settings { strategy, ..settings.clone() };
     (0..SEEDS).map(|seed| simulate(&settings, seed).total().utility_share()).sum::<f64>()
         / SEEDS as f64
 }
 
 #[track_caller]
-fn check_whole(report: &Report) {
+fn check_outcomes(report: &Report) {
     for (route, counters) in report.routes.iter().enumerate() {
         assert_eq!(counters.callers, counters.ended(), "route {route}: {counters:?}");
         assert_eq!(counters.times.len() as u64, counters.in_time + counters.late, "route {route}");
@@ -44,20 +44,20 @@
 }
 
 #[test]
-fn every_caller_gets_one_end_under_each_trouble() {
+fn every_caller_has_one_outcome_under_each_degradation() {
     let burst = Burst { begin: seconds(1), end: seconds(3), factor: 2.0 };
-    let troubles =
+    let degradations =
         [Degradation::Slow(8.0), Degradation::Failing(0.6), Degradation::LostAnswers(0.5)];
-    let mut days: Vec<Settings> = troubles.into_iter().map(with_trouble).collect();
-    days.push(Settings { bursts: vec![burst], ..short() });
-    days.push(loaded(1.6));
+    let mut scenarios: Vec<Settings> = degradations.into_iter().map(with_degradation).collect();
+    scenarios.push(Settings { bursts: vec![burst], ..base_settings() });
+    scenarios.push(loaded(1.6));
     for choice in [Choice::Capacity, Choice::RoundRobin, Choice::LeastInFlight] {
         for discipline in [Discipline::Ranked, Discipline::Fifo] {
-            for day in &days {
-                check_whole(&simulate(
+            for scenario in &scenarios {
+                check_outcomes(&simulate(
                     &Settings {
                         strategy: Strategy { choice, discipline, ..Strategy::default() },
-                        ..day.clone()
+                        ..scenario.clone()
                     },
                     1,
                 ));
@@ -67,63 +67,62 @@
 }
 
 #[test]
-fn every_caller_gets_one_end_without_each_mechanism() {
+fn every_caller_has_one_outcome_with_each_mechanism_disabled() {
     for (_, mechanism) in Mechanism::ALL {
         let strategy = Strategy { without: Some(mechanism), ..Strategy::default() };
-        check_whole(&simulate(
-            &Settings { strategy, ..with_trouble(Degradation::Failing(0.6)) },
+        check_outcomes(&simulate(
+            &Settings { strategy, ..with_degradation(Degradation::Failing(0.6)) },
             1,
         ));
     }
 }
 
 #[test]
-fn the_same_seed_gives_the_same_day() {
-    let day = with_trouble(Degradation::LostAnswers(0.3));
-    let (a, b) = (simulate(&day, 5), simulate(&day, 5));
+fn the_same_seed_gives_the_same_run() {
+    let scenario = with_degradation(Degradation::LostAnswers(0.3));
+    let (a, b) = (simulate(&scenario, 5), simulate(&scenario, 5));
     assert_eq!(a.total().times, b.total().times);
-    assert_ne!(a.total().times, simulate(&day, 6).total().times);
+    assert_ne!(a.total().times, simulate(&scenario, 6).total().times);
 }
 
 #[test]
-fn with_room_everybody_is_served_in_time() {
+fn below_capacity_every_caller_is_answered_in_time() {
     let total = simulate(&loaded(0.5), 2).total();
     assert!(total.utility_share() > 0.98, "{}", total.utility_share());
     assert_eq!(total.refused, 0);
 }
 
 #[track_caller]
-fn check_better(day: &Settings, worse: Strategy, least: f64) {
-    let (product, plain) = (earned(day, Strategy::default()), earned(day, worse));
-    assert!(product > plain + least, "{product} and {plain}");
+fn check_better(settings: &Settings, baseline: Strategy, margin: f64) {
+    let (default, other) =
+        (mean_utility_share(settings, Strategy::default()), mean_utility_share(settings, baseline));
+    assert!(default > other + margin, "{default} and {other}");
 }
 
-/// A third of the callers are late or lost all through the rush: calls queue by arrival until their
-/// deadline, so each one waits for calls that are late already.
+/// Guards against a queue in which every call waits behind calls that are already late.
 #[test]
-fn under_overload_short_waits_by_rank_beat_a_queue_by_arrival() {
-    let by_arrival = Strategy { discipline: Discipline::Fifo, ..Strategy::default() };
-    check_better(&loaded(2.0), by_arrival, 0.1);
+fn under_overload_short_ranked_waits_beat_a_fifo_queue() {
+    let fifo = Strategy { discipline: Discipline::Fifo, ..Strategy::default() };
+    check_better(&loaded(2.0), fifo, 0.1);
 }
 
-/// Lookups are late as long as one of four upstreams takes eight times as long: it gets as many calls
-/// as the others, and its callers wait for each other.
+/// Guards against sending a slow upstream as many calls as the others.
 #[test]
-fn slow_upstreams_get_fewer_calls_than_in_turn() {
-    let in_turn = Strategy { choice: Choice::RoundRobin, ..Strategy::default() };
-    check_better(&with_trouble(Degradation::Slow(8.0)), in_turn, 0.005);
+fn slow_upstreams_cost_less_utility_than_with_round_robin() {
+    let round_robin = Strategy { choice: Choice::RoundRobin, ..Strategy::default() };
+    check_better(&with_degradation(Degradation::Slow(8.0)), round_robin, 0.005);
 }
 
-/// Upstreams that fail at once look idle to whoever counts calls in flight, and draw more calls.
+/// Guards against preferring upstreams that fail fast and so have few calls in flight.
 #[test]
-fn failing_upstreams_draw_no_calls() {
-    let idle = Strategy { choice: Choice::LeastInFlight, ..Strategy::default() };
-    check_better(&with_trouble(Degradation::Failing(0.6)), idle, 0.004);
+fn failing_upstreams_cost_less_utility_than_with_least_in_flight() {
+    let least_in_flight = Strategy { choice: Choice::LeastInFlight, ..Strategy::default() };
+    check_better(&with_degradation(Degradation::Failing(0.6)), least_in_flight, 0.004);
 }
 
 #[test]
-fn repeats_stay_within_the_budget() {
-    let report = simulate(&with_trouble(Degradation::Failing(0.9)), 4);
+fn retries_stay_within_the_budget() {
+    let report = simulate(&with_degradation(Degradation::Failing(0.9)), 4);
     assert!(report.retries > 0);
     assert!(report.retries * 5 <= report.arrivals, "{} of {}", report.retries, report.arrivals);
 }
