--- a/xtask/src/bench/libraries.rs
+++ b/xtask/src/bench/libraries.rs
@@ -21,7 +21,7 @@
 /// Measures one caller's reads, one after the other.
 pub(crate) fn run(report: &mut Report) -> Result<(), Failure> {
     let runtime = Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
-    let server = Server::http("127.0.0.1:0").map_err(|e| Failure::Chore(e.to_string()))?;
+    let server = Server::http("127.0.0.1:0").map_err(|e| Failure::Task(e.to_string()))?;
     let tiny = server.server_addr().to_ip().expect("the server listens at an IP address");
     thread::spawn(move || {
         for request in server.incoming_requests() {
--- a/xtask/src/ci.rs
+++ b/xtask/src/ci.rs
@@ -44,7 +44,7 @@
     };
     let lines: Vec<&str> = text.lines().filter(|line| !line.trim().is_empty()).collect();
     if lines.len() > KNOWN_RED_LIMIT {
-        return Err(Failure::Chore(format!("{KNOWN_RED} holds more than {KNOWN_RED_LIMIT} lines")));
+        return Err(Failure::Task(format!("{KNOWN_RED} holds more than {KNOWN_RED_LIMIT} lines")));
     }
     for line in &lines {
         println!("known red, passed over: {line}");
--- a/xtask/src/demo.rs
+++ b/xtask/src/demo.rs
@@ -104,7 +104,7 @@
     if show.failed.is_empty() {
         return Ok(());
     }
-    Err(Failure::Chore(format!("did not hold: {}", show.failed.join("; "))))
+    Err(Failure::Task(format!("did not hold: {}", show.failed.join("; "))))
 }
 
 fn publish(mesh: &Mesh, show: &mut Show) {
--- a/xtask/src/experiment.rs
+++ b/xtask/src/experiment.rs
@@ -8,7 +8,7 @@
 
 mod plot;
 mod scene;
-mod sum;
+mod summary;
 
 use pico_args::Arguments;
 use standins::served::{Choice, Mechanism, Order, Settings, Way, play};
@@ -18,7 +18,7 @@
 
 use self::{
     scene::Scene,
-    sum::{Figure, Sum},
+    summary::{Estimate, Summary},
 };
 
 /// Seeds of each comparison: with ten, differences of a hundredth stand out of chance.
@@ -61,15 +61,15 @@
         return Err(Failure::Usage(format!("no such scene; there are {}", names.join(", "))));
     }
     let ways = without.map_or(Ok(WAYS.to_vec()), |name| ablation(&name))?;
-    let sums = compare(&wanted, &ways, seeds);
-    table(&sums);
+    let summaries = compare(&wanted, &ways, seeds);
+    table(&summaries);
     if let Some(path) = lines {
         let mut file = File::create(path)?;
-        for sum in &sums {
-            writeln!(file, "{}", sum.to_json(nodes, seeds))?;
+        for summary in &summaries {
+            writeln!(file, "{}", summary.to_json(nodes, seeds))?;
         }
     }
-    picture.map_or(Ok(()), |path| plot::draw(&path, &sums))
+    picture.map_or(Ok(()), |path| plot::draw(&path, &summaries))
 }
 
 /// Returns the product's way, and that without the mechanism `name` or, for `all`, without each.
@@ -84,19 +84,19 @@
     Ok(ways)
 }
 
-fn compare(scenes: &[Scene], ways: &[(&'static str, Way)], seeds: u64) -> Vec<Sum> {
-    let mut sums = Vec::new();
+fn compare(scenes: &[Scene], ways: &[(&'static str, Way)], seeds: u64) -> Vec<Summary> {
+    let mut summaries = Vec::new();
     for scene in scenes {
         for &(name, way) in ways {
             let settings = Settings { way, ..scene.settings.clone() };
             let reports: Vec<_> = (0..seeds).map(|seed| play(&settings, seed)).collect();
-            sums.push(Sum::of(scene.name, name, &reports));
+            summaries.push(Summary::of(scene.name, name, &reports));
         }
     }
-    sums
+    summaries
 }
 
-fn table(sums: &[Sum]) {
+fn table(summaries: &[Summary]) {
     println!(
         "{:<14} {:<16} {:>15} {:>15} {:>9} {:>9} {:>9} {:>9} {:>9} {:>9}",
         "scene",
@@ -110,20 +110,20 @@
         "p99 ms",
         "repeats"
     );
-    let spread = |figure: Figure| format!("{:.3} +- {:.3}", figure.mean, figure.margin);
-    for sum in sums {
+    let spread = |estimate: Estimate| format!("{:.3} +- {:.3}", estimate.mean, estimate.margin);
+    for summary in summaries {
         println!(
             "{:<14} {:<16} {:>15} {:>15} {:>9.3} {:>9.3} {:>9.3} {:>9.3} {:>9.0} {:>9.3}",
-            sum.scene,
-            sum.way,
-            spread(sum.earned),
-            spread(sum.worst),
-            sum.late.mean,
-            sum.refused.mean,
-            sum.again.mean,
-            sum.failed.mean,
-            sum.p99_ms.mean,
-            sum.repeats.mean,
+            summary.scene,
+            summary.way,
+            spread(summary.earned),
+            spread(summary.worst),
+            summary.late.mean,
+            summary.refused.mean,
+            summary.again.mean,
+            summary.failed.mean,
+            summary.p99_ms.mean,
+            summary.repeats.mean,
         );
     }
 }
--- a/xtask/src/experiment/plot.rs
+++ b/xtask/src/experiment/plot.rs
@@ -10,7 +10,7 @@
 
 use crate::tools::Failure;
 
-use super::sum::Sum;
+use super::summary::Summary;
 
 const SIZE: (u32, u32) = (960, 480);
 
@@ -18,10 +18,10 @@
 const FILLED: f64 = 0.8;
 
 /// Draws one group of bars for each scene, one bar for each way, as an SVG file.
-pub(super) fn draw(path: &Path, sums: &[Sum]) -> Result<(), Failure> {
-    let fail = |e: &dyn std::fmt::Display| Failure::Chore(format!("{}: {e}", path.display()));
-    let scenes = distinct(sums.iter().map(|sum| sum.scene));
-    let ways = distinct(sums.iter().map(|sum| sum.way));
+pub(super) fn draw(path: &Path, summaries: &[Summary]) -> Result<(), Failure> {
+    let fail = |e: &dyn std::fmt::Display| Failure::Task(format!("{}: {e}", path.display()));
+    let scenes = distinct(summaries.iter().map(|summary| summary.scene));
+    let ways = distinct(summaries.iter().map(|summary| summary.way));
     let area = SVGBackend::new(path, SIZE).into_drawing_area();
     area.fill(&WHITE).map_err(|e| fail(&e))?;
     let mut chart = ChartBuilder::on(&area)
@@ -43,10 +43,10 @@
     for (place, way) in ways.iter().enumerate() {
         let color = Palette99::pick(place).filled();
         let width = FILLED / ways.len() as f64;
-        let bars = sums.iter().filter(|sum| sum.way == *way).map(|sum| {
-            let scene = scenes.iter().position(|s| *s == sum.scene).unwrap_or_default() as f64;
+        let bars = summaries.iter().filter(|summary| summary.way == *way).map(|summary| {
+            let scene = scenes.iter().position(|s| *s == summary.scene).unwrap_or_default() as f64;
             let left = scene + (1.0 - FILLED) / 2.0 + width * place as f64;
-            Rectangle::new([(left, 0.0), (left + width, sum.earned.mean)], color)
+            Rectangle::new([(left, 0.0), (left + width, summary.earned.mean)], color)
         });
         chart
             .draw_series(bars)
--- a/xtask/src/experiment/sum.rs
+++ b/xtask/src/experiment/summary.rs
@@ -5,56 +5,56 @@
 
 /// The mean of a figure and the half width of its 95% confidence interval.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Figure {
+pub(super) struct Estimate {
     pub(super) mean: f64,
     pub(super) margin: f64,
 }
 
 /// What a way did in a scene.
 #[derive(Clone, Debug)]
-pub(super) struct Sum {
+pub(super) struct Summary {
     pub(super) scene: &'static str,
     pub(super) way: &'static str,
     /// Share of what all answers in time would be worth.
-    pub(super) earned: Figure,
+    pub(super) earned: Estimate,
     /// The same of the worst route.
-    pub(super) worst: Figure,
+    pub(super) worst: Estimate,
     /// Shares of all callers.
-    pub(super) late: Figure,
-    pub(super) refused: Figure,
-    pub(super) again: Figure,
-    pub(super) failed: Figure,
+    pub(super) late: Estimate,
+    pub(super) refused: Estimate,
+    pub(super) again: Estimate,
+    pub(super) failed: Estimate,
     /// Time in which 99 in 100 answers came.
-    pub(super) p99_ms: Figure,
+    pub(super) p99_ms: Estimate,
     /// Arrivals that were not the first, as a share of all.
-    pub(super) repeats: Figure,
+    pub(super) repeats: Estimate,
 }
 
-impl Sum {
+impl Summary {
     pub(super) fn of(scene: &'static str, way: &'static str, reports: &[Report]) -> Self {
         let totals: Vec<Tally> = reports.iter().map(Report::total).collect();
         let share = |pick: fn(&Tally) -> u64| {
-            figure(totals.iter().map(|t| pick(t) as f64 / t.asked.max(1) as f64).collect())
+            estimate(totals.iter().map(|t| pick(t) as f64 / t.asked.max(1) as f64).collect())
         };
         let p99 = |t: &Tally| t.quantile(0.99).map_or(f64::NAN, |time| time.as_secs_f64() * 1e3);
         let repeats = |r: &Report| r.repeats as f64 / r.arrivals.max(1) as f64;
-        Sum {
+        Summary {
             scene,
             way,
-            earned: figure(totals.iter().map(Tally::share).collect()),
-            worst: figure(reports.iter().map(Report::worst_share).collect()),
+            earned: estimate(totals.iter().map(Tally::share).collect()),
+            worst: estimate(reports.iter().map(Report::worst_share).collect()),
             late: share(|t| t.late),
             refused: share(|t| t.refused),
             again: share(|t| t.refused_again),
             failed: share(|t| t.failed),
-            p99_ms: figure(totals.iter().map(p99).collect()),
-            repeats: figure(reports.iter().map(repeats).collect()),
+            p99_ms: estimate(totals.iter().map(p99).collect()),
+            repeats: estimate(reports.iter().map(repeats).collect()),
         }
     }
 
     /// Returns the figures as one line of JSON; a figure that there is none of is `null`.
     pub(super) fn to_json(&self, nodes: usize, seeds: u64) -> Value {
-        let value = |f: Figure| json!({ "mean": f.mean, "margin95": f.margin });
+        let value = |f: Estimate| json!({ "mean": f.mean, "margin95": f.margin });
         json!({
             "measure": "experiment",
             "scene": self.scene,
@@ -73,14 +73,14 @@
     }
 }
 
-fn figure(samples: Vec<f64>) -> Figure {
+fn estimate(samples: Vec<f64>) -> Estimate {
     let count = samples.len() as f64;
     let mean = samples.iter().sum::<f64>() / count;
     if samples.len() < 2 {
-        return Figure { mean, margin: f64::NAN };
+        return Estimate { mean, margin: f64::NAN };
     }
     let variance = samples.iter().map(|s| (s - mean).powi(2)).sum::<f64>() / (count - 1.0);
-    Figure { mean, margin: student(samples.len() - 1) * (variance / count).sqrt() }
+    Estimate { mean, margin: student(samples.len() - 1) * (variance / count).sqrt() }
 }
 
 /// Returns the 97.5% quantile of Student's distribution; from thirty degrees on, the normal one's.
--- a/xtask/src/fuzz.rs
+++ b/xtask/src/fuzz.rs
@@ -25,7 +25,7 @@
         if let Err(reason) = script::run(&actions, net_seed) {
             let (actions, reason) = shrink(actions, net_seed, reason);
             println!("seed {seed}, script {scripts}, net seed {net_seed}: {reason}\n{actions:#?}");
-            return Err(Failure::Chore("a script failed".to_owned()));
+            return Err(Failure::Task("a script failed".to_owned()));
         }
         done += actions.len() + 1;
         scripts += 1;
--- a/xtask/src/main.rs
+++ b/xtask/src/main.rs
@@ -43,7 +43,7 @@
             eprintln!("xtask: {reason}; see --help");
             ExitCode::from(2)
         }
-        Err(tools::Failure::Chore(reason)) => {
+        Err(tools::Failure::Task(reason)) => {
             eprintln!("xtask: {reason}");
             ExitCode::FAILURE
         }
--- a/xtask/src/soak.rs
+++ b/xtask/src/soak.rs
@@ -11,20 +11,20 @@
 //! between nodes do not pass a proxy: a node knows itself and is known to the others by the address
 //! at which it takes them.
 
-mod book;
-mod check;
+mod cluster;
 mod content;
-mod cut;
 mod evacuation;
-mod fatal;
 mod fault;
 mod history;
+mod instance;
+mod interruption;
+mod invariants;
 mod leaving;
 mod load;
+mod observations;
+mod poison;
 mod port;
 mod proxy;
-mod site;
-mod spot;
 
 use pico_args::Arguments;
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
@@ -39,7 +39,7 @@
 };
 
 use crate::{
-    soak::{book::Book, evacuation::Orders, fault::Faults, site::Site},
+    soak::{cluster::Cluster, evacuation::Orders, fault::Injector, observations::Observations},
     tools::{self, Failure},
 };
 
@@ -50,22 +50,22 @@
 const NODES_PER_FAULT: usize = 30;
 
 /// Time for everything to be as it should once the last fault has ended.
-const RECOVERY: Duration = Duration::from_secs(15);
+const RECOVERY_LIMIT: Duration = Duration::from_secs(15);
 
 /// Time in which every kind of sound call is answered.
-const ANSWERED: Duration = Duration::from_secs(1);
+const POISON_DELAY: Duration = Duration::from_secs(1);
 
 /// What a soak consists of.
 #[derive(Clone, Copy, Debug)]
-struct Plan {
+struct Scenario {
     seed: u64,
-    time: Duration,
+    duration: Duration,
     nodes: usize,
     requests: Requests,
     operators: Operators,
 }
 
-/// What operators do beside the faults.
+/// What operators do beside the injector.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Operators {
     /// Nothing.
@@ -78,11 +78,11 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Requests {
     /// What upstreams can do.
-    Sound,
+    Valid,
     /// Among it, after a while, requests that end every upstream that runs them.
     ///
     /// A call that was never answered cannot be told from a fatal one that ran beside it each time.
-    Fatal(Duration),
+    Poison(Duration),
 }
 
 /// What failed once, with the cause of each; every run by hand plays them first.
@@ -92,40 +92,45 @@
 /// - 1041, 1113: a stopping node that is held up until its limit is over never closes, and ends with calls in
 ///   flight. In 1041 what holds it up is not drawn by the seed.
 /// - 4000: a read that ran beside a fatal request at two ends, and at the end of a third upstream, is refused.
-const REGRESSIONS: [Plan; 7] = [
+const REGRESSIONS: [Scenario; 7] = [
     regression(104),
     regression(1_002),
     regression(1_033),
     regression(1_041),
     regression(1_110),
     regression(1_113),
-    Plan {
+    Scenario {
         seed: 4_000,
-        time: Duration::from_secs(14),
+        duration: Duration::from_secs(14),
         nodes: 9,
-        requests: Requests::Fatal(Duration::ZERO),
+        requests: Requests::Poison(Duration::ZERO),
         operators: Operators::Idle,
     },
 ];
 
-/// What CI plays: between them, most kinds of faults.
-const SHORT: [Plan; 4] = [
-    short_plan(1, 5, Requests::Sound, Operators::Idle),
-    short_plan(3, 5, Requests::Sound, Operators::Idle),
-    short_plan(5, 10, Requests::Fatal(ANSWERED), Operators::Idle),
-    short_plan(7, 8, Requests::Sound, Operators::Evacuate),
+/// What CI plays: between them, most kinds of injector.
+const SHORT: [Scenario; 4] = [
+    short_scenario(1, 5, Requests::Valid, Operators::Idle),
+    short_scenario(3, 5, Requests::Valid, Operators::Idle),
+    short_scenario(5, 10, Requests::Poison(POISON_DELAY), Operators::Idle),
+    short_scenario(7, 8, Requests::Valid, Operators::Evacuate),
 ];
 
-const fn short_plan(seed: u64, seconds: u64, requests: Requests, operators: Operators) -> Plan {
-    Plan { seed, time: Duration::from_secs(seconds), nodes: 6, requests, operators }
+const fn short_scenario(
+    seed: u64,
+    seconds: u64,
+    requests: Requests,
+    operators: Operators,
+) -> Scenario {
+    Scenario { seed, duration: Duration::from_secs(seconds), nodes: 6, requests, operators }
 }
 
-const fn regression(seed: u64) -> Plan {
-    Plan {
+const fn regression(seed: u64) -> Scenario {
+    Scenario {
         seed,
-        time: Duration::from_secs(6),
+        duration: Duration::from_secs(6),
         nodes: 9,
-        requests: Requests::Sound,
+        requests: Requests::Valid,
         operators: Operators::Idle,
     }
 }
@@ -139,82 +144,88 @@
     let seeds: u64 = arguments.opt_value_from_str("--seeds").map_err(usage)?.unwrap_or(1);
     tools::finish(arguments)?;
     let programs = tools::build()?;
-    let time = Duration::from_secs(seconds);
-    let requests = Requests::Fatal(Duration::ZERO);
+    let duration = Duration::from_secs(seconds);
+    let requests = Requests::Poison(Duration::ZERO);
     let operators = Operators::Evacuate;
-    let seeds = (seed..seed + seeds).map(|seed| Plan { seed, time, nodes, requests, operators });
-    let plans: Vec<Plan> = REGRESSIONS.into_iter().chain(seeds).collect();
-    play_all(&plans, &programs.join("baobabrelayd"))
+    let seeds =
+        (seed..seed + seeds).map(|seed| Scenario { seed, duration, nodes, requests, operators });
+    let scenarios: Vec<Scenario> = REGRESSIONS.into_iter().chain(seeds).collect();
+    run_all(&scenarios, &programs.join("baobabrelayd"))
 }
 
 /// Plays fixed seeds for a few seconds, as CI does.
 pub(crate) fn short() -> Result<(), Failure> {
     let programs = tools::build()?;
-    play_all(&SHORT, &programs.join("baobabrelayd"))
+    run_all(&SHORT, &programs.join("baobabrelayd"))
 }
 
-/// Plays everything, also after a finding.
-fn play_all(plans: &[Plan], daemon: &Path) -> Result<(), Failure> {
+/// Plays everything, also after a violation.
+fn run_all(scenarios: &[Scenario], daemon: &Path) -> Result<(), Failure> {
     let mut failed = Vec::new();
-    for plan in plans {
-        let findings = play(*plan, daemon)?;
-        if !findings.is_empty() {
-            findings.iter().for_each(|finding| println!("seed {}: {finding}", plan.seed));
-            failed.push(plan.seed);
+    for scenario in scenarios {
+        let violations = run_one(*scenario, daemon)?;
+        if !violations.is_empty() {
+            violations.iter().for_each(|violation| println!("seed {}: {violation}", scenario.seed));
+            failed.push(scenario.seed);
         }
     }
     if failed.is_empty() {
         return Ok(());
     }
-    Err(Failure::Chore(format!("promises were broken under seeds {failed:?}")))
+    Err(Failure::Task(format!("promises were broken under seeds {failed:?}")))
 }
 
 /// Plays one seed and returns every broken promise.
-fn play(plan: Plan, daemon: &Path) -> Result<Vec<String>, Failure> {
-    let mut random = SmallRng::seed_from_u64(plan.seed);
-    let mut site = Site::start(daemon, plan.seed, plan.nodes, &DATA_CENTRES)?;
-    let ready = site.wait(RECOVERY, |site| (0..plan.nodes).all(|n| site.is_ready(n)));
+fn run_one(scenario: Scenario, daemon: &Path) -> Result<Vec<String>, Failure> {
+    let mut random = SmallRng::seed_from_u64(scenario.seed);
+    let mut cluster = Cluster::start(daemon, scenario.seed, scenario.nodes, &DATA_CENTRES)?;
+    let ready =
+        cluster.wait(RECOVERY_LIMIT, |cluster| (0..scenario.nodes).all(|n| cluster.is_ready(n)));
     if ready.is_none() {
-        println!("seed {}: logs are kept in {}", plan.seed, site.keep_logs().display());
-        return Err(Failure::Chore(format!("the nodes did not become ready: {}", site.states())));
+        println!("seed {}: logs are kept in {}", scenario.seed, cluster.keep_logs().display());
+        return Err(Failure::Task(format!("the nodes did not become ready: {}", cluster.states())));
     }
-    let book = Arc::new(Book::default());
-    let going = Arc::new(AtomicBool::new(true));
-    let mut callers = load::start(&site, &book, &going);
-    if let Requests::Fatal(after) = plan.requests {
-        callers.1.extend(fatal::start(&site, after, plan.seed, &going));
+    let observations = Arc::new(Observations::default());
+    let running = Arc::new(AtomicBool::new(true));
+    let mut callers = load::start(&cluster, &observations, &running);
+    if let Requests::Poison(after) = scenario.requests {
+        callers.1.extend(poison::start(&cluster, after, scenario.seed, &running));
     }
-    let mut faults = Faults::default();
-    let mut orders = (plan.operators == Operators::Evacuate).then(|| Orders::new(plan.seed));
-    let end = Instant::now() + plan.time;
+    let mut injector = Injector::default();
+    let mut orders =
+        (scenario.operators == Operators::Evacuate).then(|| Orders::new(scenario.seed));
+    let end = Instant::now() + scenario.duration;
     while Instant::now() < end {
-        for _ in 0..plan.nodes.div_ceil(NODES_PER_FAULT) {
-            faults.begin_one(&mut site, &mut random)?;
+        for _ in 0..scenario.nodes.div_ceil(NODES_PER_FAULT) {
+            injector.inject(&mut cluster, &mut random)?;
         }
         thread::sleep(Duration::from_millis(random.random_range(50..700)));
-        faults.end_due(&mut site)?;
+        injector.repair_due(&mut cluster)?;
         if let Some(orders) = &mut orders {
-            orders.step(&mut site);
+            orders.step(&mut cluster);
         }
-        check::nodes(&mut site, &book, &mut random)?;
+        invariants::check_nodes(&mut cluster, &observations, &mut random)?;
     }
-    faults.end_all(&mut site)?;
+    injector.repair_all(&mut cluster)?;
     if let Some(orders) = &mut orders {
-        orders.end(&mut site);
+        orders.end(&mut cluster);
     }
-    let recovered = site.wait(RECOVERY, |site| (0..plan.nodes).all(|n| site.is_recovered(n)));
-    going.store(false, Ordering::SeqCst);
+    let recovered = cluster
+        .wait(RECOVERY_LIMIT, |cluster| (0..scenario.nodes).all(|n| cluster.is_recovered(n)));
+    running.store(false, Ordering::SeqCst);
     load::finish(callers);
-    let mut findings = check::promises(&site, &book);
+    let mut violations = invariants::violations(&cluster, &observations);
     match recovered {
-        Some(time) => println!("seed {}: in order after {} ms", plan.seed, time.as_millis()),
-        None => findings.push(format!("not all nodes are ready and current: {}", site.states())),
+        Some(time) => println!("seed {}: in order after {} ms", scenario.seed, time.as_millis()),
+        None => {
+            violations.push(format!("not all nodes are ready and current: {}", cluster.states()))
+        }
     }
     let evacuations = orders.map_or(0, |orders| orders.count);
-    let counts = (book.summary(), faults.summary());
-    println!("seed {}: {}, {}, evacuation {evacuations}", plan.seed, counts.0, counts.1);
-    if !findings.is_empty() {
-        println!("logs are kept in {}", site.keep_logs().display());
+    let counts = (observations.summary(), injector.summary());
+    println!("seed {}: {}, {}, evacuation {evacuations}", scenario.seed, counts.0, counts.1);
+    if !violations.is_empty() {
+        println!("logs are kept in {}", cluster.keep_logs().display());
     }
-    Ok(findings)
+    Ok(violations)
 }
--- a/xtask/src/soak/site.rs
+++ b/xtask/src/soak/cluster.rs
@@ -14,18 +14,18 @@
 
 use crate::soak::{
     content::Content,
-    history::{History, Trouble},
+    history::{Condition, History},
+    instance::{Instance, Placement, Ports},
     port,
-    spot::{Place, Ports, Spot},
 };
 
 /// All instances and the platform.
-pub(crate) struct Site {
+pub(crate) struct Cluster {
     pub(crate) platform: Platform,
     pub(crate) content: Content,
     /// What was out of order at the platform.
     pub(crate) history: History,
-    pub(crate) spots: Vec<Spot>,
+    pub(crate) instances: Vec<Instance>,
     pub(crate) runtime: Runtime,
     daemon: PathBuf,
     folder: PathBuf,
@@ -33,7 +33,7 @@
     keep: bool,
 }
 
-impl Site {
+impl Cluster {
     /// Starts platform, upstreams, proxies and nodes, and publishes a first version.
     pub(crate) fn start(
         daemon: &Path,
@@ -45,11 +45,11 @@
         let name = format!("baobabrelay-soak-{}-{seed}", std::process::id());
         let folder = std::env::temp_dir().join(name);
         fs::create_dir_all(&folder)?;
-        let mut site = Site {
+        let mut cluster = Cluster {
             platform: Platform::start()?,
             content: Content::default(),
             history: History::default(),
-            spots: Vec::new(),
+            instances: Vec::new(),
             runtime,
             daemon: daemon.to_owned(),
             folder,
@@ -57,48 +57,53 @@
         };
         let mut random = SmallRng::seed_from_u64(seed);
         let ports = Ports { nodes: port::shared(&mut random)?, peers: port::shared(&mut random)? };
-        let platform = site.platform.address();
-        site.content.publish(&site.platform);
+        let platform = cluster.platform.address();
+        cluster.content.publish(&cluster.platform);
         for number in 0..count {
             let data_centre = data_centres[number % data_centres.len()];
-            let place = Place { number, data_centre, ports, platform };
-            site.spots.push(Spot::prepare(place, &site.folder, site.runtime.handle())?);
-            site.begin_life(number);
+            let placement = Placement { number, data_centre, ports, platform };
+            cluster.instances.push(Instance::prepare(
+                placement,
+                &cluster.folder,
+                cluster.runtime.handle(),
+            )?);
+            cluster.begin_incarnation(number);
         }
         for number in 0..count {
-            site.start_node(number)?;
+            cluster.start_node(number)?;
         }
-        Ok(site)
+        Ok(cluster)
     }
 
     /// Changes how the platform behaves.
     pub(crate) fn set_platform(&mut self, mode: platform::Mode) {
         if mode == platform::Mode::Down {
-            self.history.begin(Trouble::Outage);
+            self.history.begin(Condition::Outage);
         }
         self.platform.set_mode(mode);
         if mode != platform::Mode::Down {
-            self.history.end(Trouble::Outage);
+            self.history.end(Condition::Outage);
         }
     }
 
     /// Writes that an instance's upstream leaves.
     pub(crate) fn leave(&mut self, number: usize) {
-        let spot = &mut self.spots[number];
-        self.platform.register(&spot.id, Some(spot.entry(Standing::Leaving)));
-        spot.history.begin(Trouble::Leaving);
+        let instance = &mut self.instances[number];
+        self.platform.register(&instance.id, Some(instance.entry(Standing::Leaving)));
+        instance.history.begin(Condition::Leaving);
     }
 
     /// Has a data centre evacuated, or takes it back.
-    pub(crate) fn order(&mut self, data_centre: &str, evacuation: Evacuation) {
-        let spots = self.spots.iter_mut().filter(|spot| spot.data_centre == data_centre);
+    pub(crate) fn set_evacuation(&mut self, data_centre: &str, evacuation: Evacuation) {
+        let instances =
+            self.instances.iter_mut().filter(|instance| instance.data_centre == data_centre);
         match evacuation {
             Evacuation::Ordered => {
                 self.platform.order(data_centre, evacuation);
-                spots.for_each(|spot| spot.history.begin(Trouble::Evacuated));
+                instances.for_each(|instance| instance.history.begin(Condition::Evacuated));
             }
             Evacuation::Withdrawn => {
-                spots.for_each(|spot| spot.history.end(Trouble::Evacuated));
+                instances.for_each(|instance| instance.history.end(Condition::Evacuated));
                 self.platform.order(data_centre, evacuation);
             }
         }
@@ -106,82 +111,87 @@
 
     /// Replaces an upstream by one of another identity at the same address.
     pub(crate) fn replace(&mut self, number: usize) {
-        let spot = &mut self.spots[number];
-        self.platform.register(&spot.id, None);
-        spot.rename_upstream();
-        self.begin_life(number);
+        let instance = &mut self.instances[number];
+        self.platform.register(&instance.id, None);
+        instance.rename_upstream();
+        self.begin_incarnation(number);
     }
 
     /// Ends the process of an upstream without a word to the platform.
     pub(crate) fn kill_upstream(&mut self, number: usize) {
-        let spot = &mut self.spots[number];
-        spot.history.begin(Trouble::Gone);
-        spot.upstream.kill();
+        let instance = &mut self.instances[number];
+        instance.history.begin(Condition::Gone);
+        instance.upstream.kill();
     }
 
     /// Starts an upstream that was killed under the identity that it had.
     pub(crate) fn restart_upstream(&mut self, number: usize) -> io::Result<()> {
-        let spot = &mut self.spots[number];
-        spot.revive_upstream(self.runtime.handle())?;
-        spot.history.end(Trouble::Gone);
-        self.begin_life(number);
+        let instance = &mut self.instances[number];
+        instance.restart_upstream(self.runtime.handle())?;
+        instance.history.end(Condition::Gone);
+        self.begin_incarnation(number);
         Ok(())
     }
 
-    fn begin_life(&mut self, number: usize) {
-        let spot = &mut self.spots[number];
-        spot.begin_life();
-        spot.history.end(Trouble::Leaving);
-        self.platform.register(&spot.id, Some(spot.entry(Standing::Ready)));
+    fn begin_incarnation(&mut self, number: usize) {
+        let instance = &mut self.instances[number];
+        instance.begin_incarnation();
+        instance.history.end(Condition::Leaving);
+        self.platform.register(&instance.id, Some(instance.entry(Standing::Ready)));
     }
 
     pub(crate) fn start_node(&mut self, number: usize) -> io::Result<()> {
-        self.spots[number].start_node(&self.daemon)
+        self.instances[number].start_node(&self.daemon)
     }
 
     pub(crate) fn pause(&mut self, number: usize) -> io::Result<()> {
-        self.spots[number].history.begin(Trouble::Paused);
-        self.spots[number].signal(Signal::STOP)
+        self.instances[number].history.begin(Condition::Paused);
+        self.instances[number].signal(Signal::STOP)
     }
 
     pub(crate) fn resume(&mut self, number: usize) -> io::Result<()> {
-        self.spots[number].signal(Signal::CONT)?;
-        self.spots[number].history.end(Trouble::Paused);
+        self.instances[number].signal(Signal::CONT)?;
+        self.instances[number].history.end(Condition::Paused);
         Ok(())
     }
 
     /// Asks a node to stop, unless that was done already.
     pub(crate) fn stop(&mut self, number: usize) -> io::Result<()> {
-        let spot = &mut self.spots[number];
-        if spot.process.is_some() {
-            spot.history.begin(Trouble::Stopping);
+        let instance = &mut self.instances[number];
+        if instance.process.is_some() {
+            instance.history.begin(Condition::Stopping);
         }
-        spot.signal(Signal::TERM)
+        instance.signal(Signal::TERM)
     }
 
     /// Tells whether a node answers and holds a version and every upstream.
     pub(crate) fn is_ready(&self, number: usize) -> bool {
-        let Some(status) = self.spots[number].status() else { return false };
-        status.version.revision > 0 && status.members.len() == self.spots.len()
+        let Some(status) = self.instances[number].status() else { return false };
+        status.version.revision > 0 && status.members.len() == self.instances.len()
     }
 
     /// Tells whether a node is ready and holds the newest version.
     pub(crate) fn is_recovered(&self, number: usize) -> bool {
-        let Some(status) = self.spots[number].status() else { return false };
+        let Some(status) = self.instances[number].status() else { return false };
         // Versions count the platform's publications, and so does its configuration's revision.
-        status.members.len() == self.spots.len() && status.version.revision == self.content.newest()
+        status.members.len() == self.instances.len()
+            && status.version.revision == self.content.newest()
     }
 
     /// Describes every node, for a report.
     pub(crate) fn states(&self) -> String {
-        let state = |spot: &Spot| match spot.status() {
-            Some(s) => format!("{}: {} of {}", spot.id, s.version.revision, s.members.len()),
-            None => format!("{}: silent", spot.id),
+        let state = |instance: &Instance| match instance.status() {
+            Some(s) => format!("{}: {} of {}", instance.id, s.version.revision, s.members.len()),
+            None => format!("{}: silent", instance.id),
         };
-        self.spots.iter().map(state).collect::<Vec<_>>().join(", ")
+        self.instances.iter().map(state).collect::<Vec<_>>().join(", ")
     }
 
-    pub(crate) fn wait(&self, limit: Duration, done: impl Fn(&Site) -> bool) -> Option<Duration> {
+    pub(crate) fn wait(
+        &self,
+        limit: Duration,
+        done: impl Fn(&Cluster) -> bool,
+    ) -> Option<Duration> {
         let begun = Instant::now();
         while begun.elapsed() < limit {
             if done(self) {
@@ -199,11 +209,11 @@
     }
 }
 
-impl Drop for Site {
+impl Drop for Cluster {
     fn drop(&mut self) {
-        for spot in &mut self.spots {
+        for instance in &mut self.instances {
             // The process may have ended by itself.
-            let _ = spot.kill_node();
+            let _ = instance.kill_node();
         }
         if !self.keep {
             // What cannot be removed is left to the system's own clearing.
--- a/xtask/src/soak/fault.rs
+++ b/xtask/src/soak/fault.rs
@@ -9,7 +9,7 @@
     time::{Duration, Instant},
 };
 
-use crate::soak::{history::Trouble, proxy::Mode, site::Site};
+use crate::soak::{cluster::Cluster, history::Condition, proxy::Mode};
 
 /// Ways in which an upstream misbehaves.
 const UPSTREAM_MODES: [upstream::Mode; 6] = [
@@ -25,125 +25,130 @@
 
 /// How long an upstream that leaves stays listed beyond the time of other faults, so that there is a
 /// time in which it must get nothing.
-const LEAVING: Duration = Duration::from_millis(2_500);
+const EXTRA_LEAVING: Duration = Duration::from_millis(2_500);
 
 /// Time from a planned stop until a node that is still there is killed. It should end within 4 s.
-const STOPPING: Duration = Duration::from_secs(8);
+const STOP_LIMIT: Duration = Duration::from_secs(8);
 
 /// Time between two looks at a node that stops.
-const POLL: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// What ends a fault.
 #[derive(Clone, Copy, Debug)]
-enum End {
-    Start(usize),
+enum Repair {
+    StartNode(usize),
     /// Starts a node that was asked to stop, once it has ended or this moment is over.
-    StartAfter(usize, Instant),
-    Continue(usize),
-    PassNodes(usize),
-    PassPlatform(usize),
-    Platform,
-    Upstream(usize),
-    Replace(usize),
+    RestartStopped(usize, Instant),
+    ResumeNode(usize),
+    RestoreNodeLinks(usize),
+    RestorePlatformLink(usize),
+    RestorePlatform,
+    RestoreUpstream(usize),
+    ReplaceUpstream(usize),
     RestartUpstream(usize),
 }
 
-/// Faults under way, and how many there were of each kind.
+/// Injector under way, and how many there were of each kind.
 #[derive(Debug, Default)]
-pub(crate) struct Faults {
-    pending: Vec<(Instant, End)>,
+pub(crate) struct Injector {
+    pending: Vec<(Instant, Repair)>,
     counts: BTreeMap<&'static str, u32>,
 }
 
-impl Faults {
+impl Injector {
     /// Begins a fault drawn at random.
-    pub(crate) fn begin_one(&mut self, site: &mut Site, random: &mut SmallRng) -> io::Result<()> {
-        let number = random.random_range(0..site.spots.len());
-        let mut time = Duration::from_millis(random.random_range(100..2_500));
-        let (name, end) = match random.random_range(0..13) {
+    pub(crate) fn inject(
+        &mut self,
+        cluster: &mut Cluster,
+        random: &mut SmallRng,
+    ) -> io::Result<()> {
+        let number = random.random_range(0..cluster.instances.len());
+        let mut duration = Duration::from_millis(random.random_range(100..2_500));
+        let (name, repair) = match random.random_range(0..13) {
             0 => {
-                site.spots[number].kill_node()?;
-                ("kill", Some(End::Start(number)))
+                cluster.instances[number].kill_node()?;
+                ("kill", Some(Repair::StartNode(number)))
             }
             1 => {
-                site.pause(number)?;
-                ("pause", Some(End::Continue(number)))
+                cluster.pause(number)?;
+                ("pause", Some(Repair::ResumeNode(number)))
             }
             2 => {
-                site.stop(number)?;
-                let limit = Instant::now() + STOPPING;
-                ("planned stop", Some(End::StartAfter(number, limit)))
+                cluster.stop(number)?;
+                let limit = Instant::now() + STOP_LIMIT;
+                ("planned stop", Some(Repair::RestartStopped(number, limit)))
             }
             3 => {
-                site.spots[number].signal(Signal::HUP)?;
+                cluster.instances[number].signal(Signal::HUP)?;
                 ("reload", None)
             }
             4 => {
-                let spot = &mut site.spots[number];
-                spot.history.begin(Trouble::Nodes);
-                spot.nodes.set(PROXY_MODES[random.random_range(0..PROXY_MODES.len())]);
-                ("bad network between nodes", Some(End::PassNodes(number)))
+                let instance = &mut cluster.instances[number];
+                instance.history.begin(Condition::Nodes);
+                instance.nodes.set_mode(PROXY_MODES[random.random_range(0..PROXY_MODES.len())]);
+                ("bad network between nodes", Some(Repair::RestoreNodeLinks(number)))
             }
             5 => {
-                let spot = &mut site.spots[number];
-                spot.history.begin(Trouble::Platform);
-                spot.platform.set(PROXY_MODES[random.random_range(0..PROXY_MODES.len())]);
-                ("bad network to the platform", Some(End::PassPlatform(number)))
+                let instance = &mut cluster.instances[number];
+                instance.history.begin(Condition::Platform);
+                instance.platform.set_mode(PROXY_MODES[random.random_range(0..PROXY_MODES.len())]);
+                ("bad network to the platform", Some(Repair::RestorePlatformLink(number)))
             }
             6 => {
                 let slow = platform::Mode::Slow(Duration::from_millis(300));
                 let mode = if random.random_bool(0.5) { platform::Mode::Down } else { slow };
-                site.set_platform(mode);
-                ("platform in trouble", Some(End::Platform))
+                cluster.set_platform(mode);
+                ("platform in trouble", Some(Repair::RestorePlatform))
             }
             7 => {
-                let spot = &mut site.spots[number];
-                spot.history.begin(Trouble::Upstream);
-                spot.upstream
+                let instance = &mut cluster.instances[number];
+                instance.history.begin(Condition::Upstream);
+                instance
+                    .upstream
                     .set_mode(UPSTREAM_MODES[random.random_range(0..UPSTREAM_MODES.len())]);
-                ("upstream in trouble", Some(End::Upstream(number)))
+                ("upstream in trouble", Some(Repair::RestoreUpstream(number)))
             }
             8 => {
-                site.leave(number);
-                time += LEAVING;
-                ("upstream leaves", Some(End::Replace(number)))
+                cluster.leave(number);
+                duration += EXTRA_LEAVING;
+                ("upstream leaves", Some(Repair::ReplaceUpstream(number)))
             }
             9 => {
-                site.platform.publish(&[("services/odd", Some(r#"{"profile": "none"}"#))]);
-                site.platform.publish(&[("services/odd", None)]);
-                site.content.publish(&site.platform);
+                cluster.platform.publish(&[("services/odd", Some(r#"{"profile": "none"}"#))]);
+                cluster.platform.publish(&[("services/odd", None)]);
+                cluster.content.publish(&cluster.platform);
                 ("bad version", None)
             }
             10 => {
-                site.kill_upstream(number);
-                ("upstream restarts", Some(End::RestartUpstream(number)))
+                cluster.kill_upstream(number);
+                ("upstream restarts", Some(Repair::RestartUpstream(number)))
             }
-            11 if site.content.grow(&site.platform) > 0 => ("growth", None),
+            11 if cluster.content.grow(&cluster.platform) > 0 => ("growth", None),
             _ => {
-                site.content.publish(&site.platform);
+                cluster.content.publish(&cluster.platform);
                 ("version", None)
             }
         };
         *self.counts.entry(name).or_default() += 1;
-        self.pending.extend(end.map(|end| (Instant::now() + time, end)));
+        self.pending.extend(repair.map(|repair| (Instant::now() + duration, repair)));
         Ok(())
     }
 
     /// Ends the faults whose time is over.
-    pub(crate) fn end_due(&mut self, site: &mut Site) -> io::Result<()> {
+    pub(crate) fn repair_due(&mut self, cluster: &mut Cluster) -> io::Result<()> {
         let now = Instant::now();
         let (due, later) =
             std::mem::take(&mut self.pending).into_iter().partition(|(at, _)| *at <= now);
         self.pending = later;
-        self.finish(due, site)
+        self.apply_all(due, cluster)
     }
 
     /// Ends every fault; nodes that stop are given the time for it.
-    pub(crate) fn end_all(&mut self, site: &mut Site) -> io::Result<()> {
+    pub(crate) fn repair_all(&mut self, cluster: &mut Cluster) -> io::Result<()> {
         while !self.pending.is_empty() {
             let pending = std::mem::take(&mut self.pending);
-            self.finish(pending, site)?;
-            thread::sleep(POLL);
+            self.apply_all(pending, cluster)?;
+            thread::sleep(POLL_INTERVAL);
         }
         Ok(())
     }
@@ -153,10 +158,10 @@
         counts.collect::<Vec<_>>().join(", ")
     }
 
-    fn finish(&mut self, due: Vec<(Instant, End)>, site: &mut Site) -> io::Result<()> {
-        for (_, end) in due {
-            if !finish(site, end)? {
-                self.pending.push((Instant::now() + POLL, end));
+    fn apply_all(&mut self, due: Vec<(Instant, Repair)>, cluster: &mut Cluster) -> io::Result<()> {
+        for (_, repair) in due {
+            if !apply(cluster, repair)? {
+                self.pending.push((Instant::now() + POLL_INTERVAL, repair));
             }
         }
         Ok(())
@@ -164,43 +169,43 @@
 }
 
 /// Ends a fault, unless it is too early; tells whether it did.
-fn finish(site: &mut Site, end: End) -> io::Result<bool> {
-    match end {
-        End::Start(number) => start(site, number)?,
-        End::StartAfter(number, limit) => {
-            let spot = &mut site.spots[number];
-            if spot.history.is_open(Trouble::Stopping) && spot.look()? {
+fn apply(cluster: &mut Cluster, repair: Repair) -> io::Result<bool> {
+    match repair {
+        Repair::StartNode(number) => start(cluster, number)?,
+        Repair::RestartStopped(number, limit) => {
+            let instance = &mut cluster.instances[number];
+            if instance.history.is_active(Condition::Stopping) && instance.poll_process()? {
                 if Instant::now() < limit {
                     return Ok(false);
                 }
-                spot.kill_node()?;
+                instance.kill_node()?;
             }
-            start(site, number)?;
+            start(cluster, number)?;
         }
-        End::Continue(number) => site.resume(number)?,
-        End::PassNodes(number) => {
-            site.spots[number].nodes.set(Mode::Pass);
-            site.spots[number].history.end(Trouble::Nodes);
+        Repair::ResumeNode(number) => cluster.resume(number)?,
+        Repair::RestoreNodeLinks(number) => {
+            cluster.instances[number].nodes.set_mode(Mode::Pass);
+            cluster.instances[number].history.end(Condition::Nodes);
         }
-        End::PassPlatform(number) => {
-            site.spots[number].platform.set(Mode::Pass);
-            site.spots[number].history.end(Trouble::Platform);
+        Repair::RestorePlatformLink(number) => {
+            cluster.instances[number].platform.set_mode(Mode::Pass);
+            cluster.instances[number].history.end(Condition::Platform);
         }
-        End::Platform => site.set_platform(platform::Mode::Normal),
-        End::Upstream(number) => {
-            site.spots[number].upstream.set_mode(upstream::Mode::Normal);
-            site.spots[number].history.end(Trouble::Upstream);
+        Repair::RestorePlatform => cluster.set_platform(platform::Mode::Normal),
+        Repair::RestoreUpstream(number) => {
+            cluster.instances[number].upstream.set_mode(upstream::Mode::Normal);
+            cluster.instances[number].history.end(Condition::Upstream);
         }
-        End::Replace(number) => site.replace(number),
-        End::RestartUpstream(number) => site.restart_upstream(number)?,
+        Repair::ReplaceUpstream(number) => cluster.replace(number),
+        Repair::RestartUpstream(number) => cluster.restart_upstream(number)?,
     }
     Ok(true)
 }
 
 /// Starts a node unless one runs, be it on its way to a stop.
-fn start(site: &mut Site, number: usize) -> io::Result<()> {
-    if site.spots[number].process.is_none() {
-        site.start_node(number)?;
+fn start(cluster: &mut Cluster, number: usize) -> io::Result<()> {
+    if cluster.instances[number].process.is_none() {
+        cluster.start_node(number)?;
     }
     Ok(())
 }
--- a/xtask/src/soak/history.rs
+++ b/xtask/src/soak/history.rs
@@ -4,7 +4,7 @@
 
 /// What can be out of order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Trouble {
+pub(crate) enum Condition {
     /// The node was killed; it lasts until its successor serves.
     Killed,
     /// The node's process stands still.
@@ -34,15 +34,15 @@
 /// A time during which something was out of order; without an end, it still is.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Span {
-    pub(crate) trouble: Trouble,
+    pub(crate) condition: Condition,
     pub(crate) from: Instant,
     pub(crate) until: Option<Instant>,
     /// When it was seen to last, most recently; its end may be noticed late.
-    pub(crate) seen: Instant,
+    pub(crate) confirmed: Instant,
 }
 
 impl Span {
-    fn meets(&self, from: Instant, until: Instant) -> bool {
+    fn overlaps(&self, from: Instant, until: Instant) -> bool {
         self.from <= until && self.until.is_none_or(|end| end >= from)
     }
 }
@@ -55,53 +55,53 @@
 
 impl History {
     /// Notes that something is out of order from now on; it is noted once.
-    pub(crate) fn begin(&mut self, trouble: Trouble) {
-        if !self.is_open(trouble) {
+    pub(crate) fn begin(&mut self, condition: Condition) {
+        if !self.is_active(condition) {
             let from = Instant::now();
-            self.spans.push(Span { trouble, from, until: None, seen: from });
+            self.spans.push(Span { condition, from, until: None, confirmed: from });
         }
     }
 
     /// Notes that something is in order again.
-    pub(crate) fn end(&mut self, trouble: Trouble) {
-        let open = |span: &&mut Span| span.trouble == trouble && span.until.is_none();
+    pub(crate) fn end(&mut self, condition: Condition) {
+        let open = |span: &&mut Span| span.condition == condition && span.until.is_none();
         if let Some(span) = self.spans.iter_mut().find(open) {
             span.until = Some(Instant::now());
         }
     }
 
     /// Notes that something is still out of order, if it is.
-    pub(crate) fn see(&mut self, trouble: Trouble) {
-        let open = |span: &&mut Span| span.trouble == trouble && span.until.is_none();
+    pub(crate) fn confirm(&mut self, condition: Condition) {
+        let open = |span: &&mut Span| span.condition == condition && span.until.is_none();
         if let Some(span) = self.spans.iter_mut().find(open) {
-            span.seen = Instant::now();
+            span.confirmed = Instant::now();
         }
     }
 
-    pub(crate) fn is_open(&self, trouble: Trouble) -> bool {
-        self.spans.iter().any(|span| span.trouble == trouble && span.until.is_none())
+    pub(crate) fn is_active(&self, condition: Condition) -> bool {
+        self.spans.iter().any(|span| span.condition == condition && span.until.is_none())
     }
 
-    /// Returns the spans of `troubles` that have a moment in common with the time given.
+    /// Returns the spans of `conditions` that have a moment in common with the time given.
     pub(crate) fn during(
         &self,
-        troubles: &[Trouble],
+        conditions: &[Condition],
         from: Instant,
         until: Instant,
     ) -> impl Iterator<Item = Span> {
         self.spans
             .iter()
             .copied()
-            .filter(move |span| troubles.contains(&span.trouble) && span.meets(from, until))
+            .filter(move |span| conditions.contains(&span.condition) && span.overlaps(from, until))
     }
 
-    /// Tells whether any of `troubles` was there at a moment of the time given.
-    pub(crate) fn had(&self, troubles: &[Trouble], from: Instant, until: Instant) -> bool {
-        self.during(troubles, from, until).next().is_some()
+    /// Tells whether any of `conditions` was there at a moment of the time given.
+    pub(crate) fn overlaps(&self, conditions: &[Condition], from: Instant, until: Instant) -> bool {
+        self.during(conditions, from, until).next().is_some()
     }
 
     /// Returns all spans of one kind.
-    pub(crate) fn all(&self, trouble: Trouble) -> impl Iterator<Item = Span> {
-        self.spans.iter().copied().filter(move |span| span.trouble == trouble)
+    pub(crate) fn all(&self, condition: Condition) -> impl Iterator<Item = Span> {
+        self.spans.iter().copied().filter(move |span| span.condition == condition)
     }
 }
--- a/xtask/src/soak/spot.rs
+++ b/xtask/src/soak/instance.rs
@@ -19,9 +19,9 @@
 
 use crate::soak::{
     content::SERVICES,
-    history::{History, Trouble},
+    history::{Condition, History},
     port,
-    proxy::{Proxy, Speed},
+    proxy::{Bandwidth, Proxy},
 };
 
 /// What an upstream's requests take.
@@ -31,10 +31,10 @@
 pub(crate) const SLOTS: usize = 8;
 
 /// Longest wait for a node to take signals; it takes some 2 ms on an idle machine.
-const START: Duration = Duration::from_secs(2);
+const START_LIMIT: Duration = Duration::from_secs(2);
 
 /// Longest wait for the address of an upstream that was killed.
-const FREE: Duration = Duration::from_secs(2);
+const REBIND_LIMIT: Duration = Duration::from_secs(2);
 
 /// Links of every fourth instance, the last of each four: 5 Mbit/s, as the slowest customers' are.
 const SLOW_MBPS: u32 = 5;
@@ -49,7 +49,7 @@
 
 /// Where an instance stands.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Place {
+pub(crate) struct Placement {
     pub(crate) number: usize,
     pub(crate) data_centre: &'static str,
     pub(crate) ports: Ports,
@@ -57,14 +57,14 @@
 }
 
 /// One instance.
-pub(crate) struct Spot {
+pub(crate) struct Instance {
     /// Identity of its upstream's present life.
     pub(crate) id: String,
     service: &'static str,
     pub(crate) data_centre: &'static str,
     pub(crate) upstream: Upstream,
-    /// Its upstream's former processes.
-    former: Vec<Upstream>,
+    /// Its upstream's previous processes.
+    previous: Vec<Upstream>,
     /// When its upstream's present life began, in ms of Unix time.
     started_ms: u64,
     /// Between other nodes and this one's address for their calls.
@@ -79,21 +79,21 @@
     pub(crate) process: Option<Child>,
     /// What was out of order here.
     pub(crate) history: History,
-    lives: u32,
+    renames: u32,
 }
 
-impl Spot {
+impl Instance {
     /// Starts upstream and proxies and writes the node's settings.
-    pub(crate) fn prepare(place: Place, folder: &Path, handle: &Handle) -> io::Result<Self> {
-        let Place { number, data_centre, ports, platform } = place;
+    pub(crate) fn prepare(place: Placement, folder: &Path, handle: &Handle) -> io::Result<Self> {
+        let Placement { number, data_centre, ports, platform } = place;
         let mbps = if number % SLOW_EVERY == SLOW_EVERY - 1 { SLOW_MBPS } else { 0 };
-        let speed: Speed = (mbps > 0).then_some(mbps * 1_000_000 / 8);
+        let bandwidth: Bandwidth = (mbps > 0).then_some(mbps * 1_000_000 / 8);
         let (public, inner) = (address(1, number, 0), address(2, number, 0));
         let upstream = start_upstream(public, handle)?;
         let inner_nodes = address(2, number, ports.nodes);
         let outer_nodes = address(1, number, ports.nodes);
-        let (nodes, _) = Proxy::start(outer_nodes, inner_nodes, speed, handle)?;
-        let (platform, to_platform) = Proxy::start(inner, platform, speed, handle)?;
+        let (nodes, _) = Proxy::start(outer_nodes, inner_nodes, bandwidth, handle)?;
+        let (platform, to_platform) = Proxy::start(inner, platform, bandwidth, handle)?;
         let callers = address(2, number, port::free()?);
         let operators = address(2, number, port::free()?);
         let service = SERVICES[number / 3 % SERVICES.len()];
@@ -117,12 +117,12 @@
             "stop": { "linger_ms": 300, "finish_ms": 1_500, "limit_ms": 4_000 },
         });
         std::fs::write(&settings, text.to_string())?;
-        Ok(Spot {
+        Ok(Instance {
             id: format!("i-{number}-0"),
             service,
             data_centre,
             upstream,
-            former: Vec::new(),
+            previous: Vec::new(),
             started_ms: 0,
             nodes,
             platform,
@@ -132,7 +132,7 @@
             log: folder.join(format!("node-{number}.log")),
             process: None,
             history: History::default(),
-            lives: 0,
+            renames: 0,
         })
     }
 
@@ -153,31 +153,31 @@
 
     /// Gives its upstream another identity.
     pub(crate) fn rename_upstream(&mut self) {
-        self.lives += 1;
+        self.renames += 1;
         let (name, _) = self.id.rsplit_once('-').unwrap_or((&self.id, ""));
-        self.id = format!("{name}-{}", self.lives);
+        self.id = format!("{name}-{}", self.renames);
     }
 
     /// Notes that a life of its upstream begins.
-    pub(crate) fn begin_life(&mut self) {
+    pub(crate) fn begin_incarnation(&mut self) {
         let now = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64);
         self.started_ms = now.max(self.started_ms + 1);
     }
 
     /// Starts another process of its upstream at the address of the one that was killed.
-    pub(crate) fn revive_upstream(&mut self, handle: &Handle) -> io::Result<()> {
+    pub(crate) fn restart_upstream(&mut self, handle: &Handle) -> io::Result<()> {
         // It may have been started again meanwhile.
         self.upstream.kill();
         let address = self.upstream.address();
         let begun = Instant::now();
         let upstream = loop {
             match start_upstream(address, handle) {
-                // The former one's socket is closed by its own thread, a moment later.
-                Err(_) if begun.elapsed() < FREE => thread::sleep(Duration::from_millis(2)),
+                // The previous one's socket is closed by its own thread, a moment later.
+                Err(_) if begun.elapsed() < REBIND_LIMIT => thread::sleep(Duration::from_millis(2)),
                 started => break started?,
             }
         };
-        self.former.push(std::mem::replace(&mut self.upstream, upstream));
+        self.previous.push(std::mem::replace(&mut self.upstream, upstream));
         Ok(())
     }
 
@@ -188,29 +188,29 @@
 
     /// Returns the requests that end upstreams, as they came to its upstream: when they were begun, and what
     /// tells them apart.
-    pub(crate) fn fatal(&self) -> Vec<(Instant, String)> {
+    pub(crate) fn poison_requests(&self) -> Vec<(Instant, String)> {
         let runs = self.processes().flat_map(|upstream| upstream.ledger().fatal);
         runs.map(|(at, path)| (at, format!("{} {path}", self.service))).collect()
     }
 
     /// Tells whether its upstream ended under a request within the time given.
-    pub(crate) fn fell(&self, from: Instant, until: Instant) -> bool {
-        let mut falls = self.processes().flat_map(|upstream| upstream.ledger().ends);
-        falls.any(|at| (from..=until).contains(&at))
+    pub(crate) fn crashed_between(&self, from: Instant, until: Instant) -> bool {
+        let mut crashes = self.processes().flat_map(|upstream| upstream.ledger().ends);
+        crashes.any(|at| (from..=until).contains(&at))
     }
 
     /// Returns every process of its upstream, the present one last.
     fn processes(&self) -> impl Iterator<Item = &Upstream> {
-        self.former.iter().chain([&self.upstream])
+        self.previous.iter().chain([&self.upstream])
     }
 
     /// Returns how often each named piece of work was begun at its upstream.
-    pub(crate) fn begun(&self) -> HashMap<String, u32> {
-        let mut begun: HashMap<String, u32> = HashMap::new();
+    pub(crate) fn runs_by_work(&self) -> HashMap<String, u32> {
+        let mut runs: HashMap<String, u32> = HashMap::new();
         for (_, work) in self.starts() {
-            *begun.entry(work).or_default() += 1;
+            *runs.entry(work).or_default() += 1;
         }
-        begun
+        runs
     }
 
     /// Starts the node and waits until it serves its operators' page, or has had the time for it.
@@ -220,11 +220,11 @@
     pub(crate) fn start_node(&mut self, daemon: &Path) -> io::Result<()> {
         self.process = Some(mesh::spawn(daemon, &self.settings, &self.log)?);
         let begun = Instant::now();
-        while TcpStream::connect(self.operators).is_err() && begun.elapsed() < START {
+        while TcpStream::connect(self.operators).is_err() && begun.elapsed() < START_LIMIT {
             thread::sleep(Duration::from_millis(1));
         }
-        for trouble in [Trouble::Killed, Trouble::Stopped, Trouble::Crashed] {
-            self.history.end(trouble);
+        for condition in [Condition::Killed, Condition::Stopped, Condition::Crashed] {
+            self.history.end(condition);
         }
         Ok(())
     }
@@ -234,24 +234,24 @@
         if self.process.is_none() {
             return Ok(());
         }
-        self.history.begin(Trouble::Killed);
+        self.history.begin(Condition::Killed);
         mesh::kill(&mut self.process)?;
-        self.history.end(Trouble::Paused);
-        self.history.end(Trouble::Stopping);
+        self.history.end(Condition::Paused);
+        self.history.end(Condition::Stopping);
         Ok(())
     }
 
     /// Takes note if the node has ended by itself; tells whether it runs.
-    pub(crate) fn look(&mut self) -> io::Result<bool> {
+    pub(crate) fn poll_process(&mut self) -> io::Result<bool> {
         let Some(process) = &mut self.process else { return Ok(false) };
         if process.try_wait()?.is_none() {
-            self.history.see(Trouble::Stopping);
+            self.history.confirm(Condition::Stopping);
             return Ok(true);
         }
         self.process = None;
-        let asked = self.history.is_open(Trouble::Stopping);
-        self.history.begin(if asked { Trouble::Stopped } else { Trouble::Crashed });
-        self.history.end(Trouble::Stopping);
+        let asked = self.history.is_active(Condition::Stopping);
+        self.history.begin(if asked { Condition::Stopped } else { Condition::Crashed });
+        self.history.end(Condition::Stopping);
         Ok(false)
     }
 
--- a/xtask/src/soak/load.rs
+++ b/xtask/src/soak/load.rs
@@ -14,9 +14,9 @@
 use tokio::{task::JoinHandle, time::sleep};
 
 use crate::soak::{
-    book::{Book, End, Ended, Kind},
+    cluster::Cluster,
     content::{HOST, POSTS, READS},
-    site::Site,
+    observations::{Kind, Observations, Outcome, Record},
 };
 
 /// Callers of each node.
@@ -27,7 +27,7 @@
 
 /// Most nodes with so many callers; of more, each has one, which pauses longer, so that the calls of
 /// all are as many as this machine carries besides its work on the nodes.
-const FEW: usize = 30;
+const MAX_NODES_AT_FULL_LOAD: usize = 30;
 
 /// Pause of such a caller, for each node.
 const PAUSE_PER_NODE: Duration = Duration::from_micros(1_300);
@@ -37,20 +37,23 @@
 
 /// Starts callers of every node.
 pub(crate) fn start(
-    site: &Site,
-    book: &Arc<Book>,
-    going: &Arc<AtomicBool>,
+    cluster: &Cluster,
+    observations: &Arc<Observations>,
+    running: &Arc<AtomicBool>,
 ) -> (tokio::runtime::Handle, Vec<JoinHandle<()>>) {
-    let handle = site.runtime.handle().clone();
+    let handle = cluster.runtime.handle().clone();
     let mut tasks = Vec::new();
-    let nodes = site.spots.len();
-    let (callers, pause) =
-        if nodes <= FEW { (CALLERS, PAUSE) } else { (1, PAUSE_PER_NODE * nodes as u32) };
-    for (node, spot) in site.spots.iter().enumerate() {
+    let nodes = cluster.instances.len();
+    let (callers, pause) = if nodes <= MAX_NODES_AT_FULL_LOAD {
+        (CALLERS, PAUSE)
+    } else {
+        (1, PAUSE_PER_NODE * nodes as u32)
+    };
+    for (node, instance) in cluster.instances.iter().enumerate() {
         for caller in 0..callers {
-            let customer =
-                Customer { name: format!("{node}-{caller}"), node, address: spot.callers, pause };
-            tasks.push(handle.spawn(customer.call(book.clone(), going.clone())));
+            let client =
+                Client { name: format!("{node}-{caller}"), node, address: instance.callers, pause };
+            tasks.push(handle.spawn(client.call(observations.clone(), running.clone())));
         }
     }
     (handle, tasks)
@@ -65,29 +68,36 @@
 }
 
 /// One caller.
-struct Customer {
+struct Client {
     name: String,
     node: usize,
     address: SocketAddr,
     pause: Duration,
 }
 
-impl Customer {
+impl Client {
     /// Makes one call after the other.
-    async fn call(self, book: Arc<Book>, going: Arc<AtomicBool>) {
+    async fn call(self, observations: Arc<Observations>, running: Arc<AtomicBool>) {
         let mut caller = Caller::new(self.address);
         let mut number = 0_usize;
-        while going.load(Ordering::SeqCst) {
+        while running.load(Ordering::SeqCst) {
             number += 1;
             let work = format!("{}-{number}", self.name);
             let kind = if number.is_multiple_of(2) { Kind::Read } else { Kind::Post };
-            let begun = Instant::now();
+            let started = Instant::now();
             let answer = caller.call(&call(number, kind, &work)).await;
-            let end = match answer {
-                Err(error) => broken(&error),
-                Ok(answer) => ended(&answer, &work),
+            let outcome = match answer {
+                Err(error) => error_outcome(&error),
+                Ok(answer) => answer_outcome(&answer, &work),
             };
-            book.note(Ended { node: self.node, work, kind, end, begun, ended: Instant::now() });
+            observations.record_call(Record {
+                node: self.node,
+                work,
+                kind,
+                outcome,
+                started,
+                finished: Instant::now(),
+            });
             sleep(self.pause).await;
         }
     }
@@ -107,24 +117,24 @@
     Call { host: Some(HOST.to_owned()), deadline_ms: Some(DEADLINE_MS), ..call }
 }
 
-fn broken(error: &io::Error) -> End {
+fn error_outcome(error: &io::Error) -> Outcome {
     match error.kind() {
-        io::ErrorKind::Other => End::Broken,
-        io::ErrorKind::UnexpectedEof => End::Cut,
-        _ => End::Refused,
+        io::ErrorKind::Other => Outcome::Broken,
+        io::ErrorKind::UnexpectedEof => Outcome::Cut,
+        _ => Outcome::Refused,
     }
 }
 
-fn ended(answer: &Answer, work: &str) -> End {
+fn answer_outcome(answer: &Answer, work: &str) -> Outcome {
     match answer.outcome() {
         "answered" if answer.status == 200 => {
             let own = answer.header(standins::caller::WORK) == work;
             let whole = answer.body.len() == 64;
-            if own && whole { End::Answered } else { End::Mixed }
+            if own && whole { Outcome::Answered } else { Outcome::Mixed }
         }
-        "answered" => End::Failed,
-        "not-run" if answer.header("baobab-cause") == "quarantined" => End::Quarantined,
-        "not-run" => End::NotRun,
-        _ => End::Unknown,
+        "answered" => Outcome::Failed,
+        "not-run" if answer.header("baobab-cause") == "quarantined" => Outcome::Quarantined,
+        "not-run" => Outcome::NotRun,
+        _ => Outcome::Unknown,
     }
 }
--- a/xtask/src/soak/book.rs
+++ b/xtask/src/soak/observations.rs
@@ -15,7 +15,7 @@
 
 /// How a call ended for its caller.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub(crate) enum End {
+pub(crate) enum Outcome {
     Answered,
     /// An upstream's own failure.
     Failed,
@@ -35,60 +35,60 @@
 
 /// A call that has ended.
 #[derive(Clone, Debug)]
-pub(crate) struct Ended {
+pub(crate) struct Record {
     /// Number of the instance that it was made to.
     pub(crate) node: usize,
     pub(crate) work: String,
     pub(crate) kind: Kind,
-    pub(crate) end: End,
+    pub(crate) outcome: Outcome,
     /// When its caller began to send it.
-    pub(crate) begun: Instant,
-    pub(crate) ended: Instant,
+    pub(crate) started: Instant,
+    pub(crate) finished: Instant,
 }
 
 /// What was seen until now.
 #[derive(Debug, Default)]
-pub(crate) struct Book {
-    ends: Mutex<Vec<Ended>>,
+pub(crate) struct Observations {
+    calls: Mutex<Vec<Record>>,
     /// Highest revision of each life of a node.
     versions: Mutex<BTreeMap<(usize, u64), u64>>,
-    findings: Mutex<Vec<String>>,
+    violations: Mutex<Vec<String>>,
 }
 
-impl Book {
-    pub(crate) fn note(&self, call: Ended) {
-        lock(&self.ends).push(call);
+impl Observations {
+    pub(crate) fn record_call(&self, call: Record) {
+        lock(&self.calls).push(call);
     }
 
     /// Notes a broken promise.
-    pub(crate) fn find(&self, text: String) {
-        lock(&self.findings).push(text);
+    pub(crate) fn record_violation(&self, text: String) {
+        lock(&self.violations).push(text);
     }
 
     /// Notes a node's revision; returns the highest that was seen before in the same life.
-    pub(crate) fn see(&self, number: usize, incarnation: u64, revision: u64) -> u64 {
+    pub(crate) fn observe_revision(&self, number: usize, incarnation: u64, revision: u64) -> u64 {
         let mut versions = lock(&self.versions);
         let known = versions.entry((number, incarnation)).or_default();
-        let former = *known;
-        *known = revision.max(former);
-        former
+        let previous = *known;
+        *known = revision.max(previous);
+        previous
     }
 
-    pub(crate) fn ends(&self) -> Vec<Ended> {
-        lock(&self.ends).clone()
+    pub(crate) fn calls(&self) -> Vec<Record> {
+        lock(&self.calls).clone()
     }
 
-    pub(crate) fn findings(&self) -> Vec<String> {
-        lock(&self.findings).clone()
+    pub(crate) fn violations(&self) -> Vec<String> {
+        lock(&self.violations).clone()
     }
 
     pub(crate) fn summary(&self) -> String {
-        let mut counts: BTreeMap<End, usize> = BTreeMap::new();
-        for call in lock(&self.ends).iter() {
-            *counts.entry(call.end).or_default() += 1;
+        let mut counts: BTreeMap<Outcome, usize> = BTreeMap::new();
+        for call in lock(&self.calls).iter() {
+            *counts.entry(call.outcome).or_default() += 1;
         }
         let counts: Vec<String> =
-            counts.iter().map(|(end, count)| format!("{end:?} {count}")).collect();
+            counts.iter().map(|(outcome, count)| format!("{outcome:?} {count}")).collect();
         counts.join(", ")
     }
 }
--- a/xtask/src/soak/fatal.rs
+++ b/xtask/src/soak/poison.rs
@@ -17,63 +17,69 @@
 use tokio::{task::JoinHandle, time::sleep};
 
 use crate::soak::{
+    cluster::Cluster,
     content::{HOST, READS},
-    history::Trouble,
+    history::Condition,
     load::DEADLINE_MS,
-    site::Site,
 };
 
 /// Time from one request of a caller to the next.
 const PAUSE: Duration = Duration::from_millis(250);
 
 /// Time after which a caller brings another request.
-const CHANGE: Duration = Duration::from_secs(6);
+const REQUEST_LIFETIME: Duration = Duration::from_secs(6);
 
-/// Callers of each service. They bring the same requests.
+/// Callers of each service. They send the same requests.
 const CALLERS: usize = 2;
 
 /// Ends after which the nodes may not doubt the cause.
-const PROOF: usize = 3;
+const QUARANTINE_CRASHES: usize = 3;
 
 /// Runs beyond these that are allowed in any case.
-const REPEATS: usize = 3;
+const MAX_LATE_RUNS: usize = 3;
 
 /// Time for a node that nothing hinders to know what the others know.
-const KNOWN: Duration = Duration::from_secs(3);
+const PROPAGATION: Duration = Duration::from_secs(3);
 
 /// What keeps a node from knowing it.
-const HINDRANCES: [Trouble; 5] =
-    [Trouble::Killed, Trouble::Paused, Trouble::Stopping, Trouble::Stopped, Trouble::Crashed];
+const DISRUPTIONS: [Condition; 5] = [
+    Condition::Killed,
+    Condition::Paused,
+    Condition::Stopping,
+    Condition::Stopped,
+    Condition::Crashed,
+];
 
-/// Starts callers that bring their requests to nodes drawn at random, and begin `after` a while.
+/// Starts callers that send poison requests to nodes drawn at random, and begin `after` a while.
 pub(crate) fn start(
-    site: &Site,
+    cluster: &Cluster,
     after: Duration,
     seed: u64,
-    going: &Arc<AtomicBool>,
+    running: &Arc<AtomicBool>,
 ) -> Vec<JoinHandle<()>> {
-    let nodes: Vec<SocketAddr> = site.spots.iter().map(|spot| spot.callers).collect();
+    let nodes: Vec<SocketAddr> =
+        cluster.instances.iter().map(|instance| instance.callers).collect();
     let callers = ["stock", "pay"].into_iter().flat_map(|service| [service; CALLERS]);
-    let bring = |(number, service): (usize, &'static str)| {
+    let spawn = |(number, service): (usize, &'static str)| {
         let random = SmallRng::seed_from_u64(seed + number as u64);
-        let caller = bring(service, nodes.clone(), random, going.clone());
-        site.runtime.handle().spawn(async move {
+        let caller = send_poison(service, nodes.clone(), random, running.clone());
+        cluster.runtime.handle().spawn(async move {
             sleep(after).await;
             caller.await;
         })
     };
-    callers.enumerate().map(bring).collect()
+    callers.enumerate().map(spawn).collect()
 }
 
-async fn bring(
+async fn send_poison(
     service: &'static str,
     nodes: Vec<SocketAddr>,
     mut random: SmallRng,
-    going: Arc<AtomicBool>,
+    running: Arc<AtomicBool>,
 ) {
     let begun = Instant::now();
-    while going.load(Ordering::SeqCst) {
-        let number = begun.elapsed().as_secs() / CHANGE.as_secs();
+    while running.load(Ordering::SeqCst) {
+        let number = begun.elapsed().as_secs() / REQUEST_LIFETIME.as_secs();
         let path = format!("/{service}/{READS}/{number}{FATAL}");
         let node = nodes[random.random_range(0..nodes.len())];
         let call = Call {
@@ -92,27 +98,27 @@
 ///
 /// The first routes that operators publish change the path under which a caller's request comes to upstreams;
 /// from then on it is another one.
-pub(crate) fn findings(site: &Site) -> Vec<String> {
+pub(crate) fn violations(cluster: &Cluster) -> Vec<String> {
     let mut runs: BTreeMap<String, Vec<(Instant, usize)>> = BTreeMap::new();
-    for (number, spot) in site.spots.iter().enumerate() {
-        for (at, request) in spot.fatal() {
+    for (number, instance) in cluster.instances.iter().enumerate() {
+        for (at, request) in instance.poison_requests() {
             runs.entry(request).or_default().push((at, number));
         }
     }
-    runs.iter_mut().filter_map(|(request, runs)| finding(site, request, runs)).collect()
+    runs.iter_mut().filter_map(|(request, runs)| violation(cluster, request, runs)).collect()
 }
 
-fn finding(site: &Site, request: &str, runs: &mut [(Instant, usize)]) -> Option<String> {
+fn violation(cluster: &Cluster, request: &str, runs: &mut [(Instant, usize)]) -> Option<String> {
     runs.sort();
     // Each run ends the upstream 20 ms later; the margin of the time below is much larger.
-    let (proved, _) = *runs.get(PROOF - 1)?;
+    let (recognized, _) = *runs.get(QUARANTINE_CRASHES - 1)?;
     let late = |(at, number): &&(Instant, usize)| {
-        let since = at.checked_sub(KNOWN).unwrap_or(*at);
-        since > proved && !site.spots[*number].history.had(&HINDRANCES, since, *at)
+        let since = at.checked_sub(PROPAGATION).unwrap_or(*at);
+        since > recognized && !cluster.instances[*number].history.overlaps(&DISRUPTIONS, since, *at)
     };
     let late = runs.iter().filter(late).count();
     let all = runs.len();
-    (late > REPEATS).then(|| {
-        format!("{request}: {all} upstreams ended, {late} of them long after the first {PROOF}")
+    (late > MAX_LATE_RUNS).then(|| {
+        format!("{request}: {all} upstreams ended, {late} of them long after the first {QUARANTINE_CRASHES}")
     })
 }
--- a/xtask/src/soak/port.rs
+++ b/xtask/src/soak/port.rs
@@ -4,14 +4,14 @@
 use std::{io, net::TcpListener, ops::Range};
 
 /// Ports that systems do not hand out by themselves, to listeners that name none or to connections.
-const KEPT: Range<u16> = 20_000..30_000;
+const SHARED_PORTS: Range<u16> = 20_000..30_000;
 
-/// How many ports of [`KEPT`] are tried; few of them are ever taken.
-const TRIES: usize = 100;
+/// How many ports of [`SHARED_PORTS`] are tried; few of them are ever taken.
+const MAX_TRIES: usize = 100;
 
 /// Returns a port that is free on every loopback address, as far as one can tell.
 pub(crate) fn free() -> io::Result<u16> {
-    port_of(0)
+    probe_port(0)
 }
 
 /// Returns a port at which a process can listen at each of many addresses, whatever else listens there.
@@ -22,8 +22,8 @@
 /// was one start in some.
 pub(crate) fn shared(random: &mut SmallRng) -> io::Result<u16> {
     let mut last = Ok(0);
-    for _ in 0..TRIES {
-        last = port_of(random.random_range(KEPT));
+    for _ in 0..MAX_TRIES {
+        last = probe_port(random.random_range(SHARED_PORTS));
         if last.is_ok() {
             break;
         }
@@ -31,7 +31,7 @@
     last
 }
 
-fn port_of(wanted: u16) -> io::Result<u16> {
+fn probe_port(wanted: u16) -> io::Result<u16> {
     Ok(TcpListener::bind(("0.0.0.0", wanted))?.local_addr()?.port())
 }
 
--- a/xtask/src/soak/proxy.rs
+++ b/xtask/src/soak/proxy.rs
@@ -32,21 +32,21 @@
     OneWay,
 }
 
-/// Speed of what a proxy stands for, in bytes a second each way; none does not limit it.
-pub(crate) type Speed = Option<u32>;
+/// Bandwidth of what a proxy stands for, in bytes a second each way; none does not limit it.
+pub(crate) type Bandwidth = Option<u32>;
 
-/// Delay of each piece of bytes under [`Mode::Delay`].
+/// Delay of each chunk of bytes under [`Mode::Delay`].
 const DELAY: Duration = Duration::from_millis(80);
 
-/// Bytes of one piece, at most.
-const PIECE: usize = 16 * 1024;
+/// Bytes of one chunk, at most.
+const CHUNK_BYTES: usize = 16 * 1024;
 
 /// A running proxy; clones share it.
 #[derive(Clone, Debug)]
 pub(crate) struct Proxy {
     mode: Arc<watch::Sender<Mode>>,
-    requests: Arc<Lane>,
-    answers: Arc<Lane>,
+    requests: Arc<Link>,
+    answers: Arc<Link>,
 }
 
 impl Proxy {
@@ -54,7 +54,7 @@
     pub(crate) fn start(
         listen: SocketAddr,
         target: SocketAddr,
-        speed: Speed,
+        bandwidth: Bandwidth,
         handle: &Handle,
     ) -> io::Result<(Self, SocketAddr)> {
         let _guard = handle.enter();
@@ -63,54 +63,54 @@
         let address = listener.local_addr()?;
         let listener = TcpListener::from_std(listener)?;
         let mode = Arc::new(watch::Sender::new(Mode::Pass));
-        let (requests, answers) = (Arc::new(Lane::new(speed)), Arc::new(Lane::new(speed)));
+        let (requests, answers) = (Arc::new(Link::new(bandwidth)), Arc::new(Link::new(bandwidth)));
         let proxy = Proxy { mode, requests, answers };
         handle.spawn(proxy.clone().accept(listener, target));
         Ok((proxy, address))
     }
 
-    pub(crate) fn set(&self, mode: Mode) {
+    pub(crate) fn set_mode(&self, mode: Mode) {
         self.mode.send_replace(mode);
     }
 
     async fn accept(self, listener: TcpListener, target: SocketAddr) {
-        while let Ok((near, _)) = listener.accept().await {
+        while let Ok((client, _)) = listener.accept().await {
             let served = self.clone();
             tokio::spawn(async move {
                 let mut mode = served.mode.subscribe();
                 // Dropped connections are closed at once; with bytes unread the system resets them.
                 tokio::select! {
                     _ = mode.wait_for(|mode| *mode == Mode::Reset) => {}
-                    () = served.serve(near, target) => {}
+                    () = served.serve(client, target) => {}
                 }
             });
         }
     }
 
-    async fn serve(&self, near: TcpStream, target: SocketAddr) {
-        let Ok(far) = TcpStream::connect(target).await else { return };
+    async fn serve(&self, client: TcpStream, target: SocketAddr) {
+        let Ok(server) = TcpStream::connect(target).await else { return };
         // A connection that is gone already shows when it is used.
-        let _ = (near.set_nodelay(true), far.set_nodelay(true));
-        let (near_read, near_write) = near.into_split();
-        let (far_read, far_write) = far.into_split();
+        let _ = (client.set_nodelay(true), server.set_nodelay(true));
+        let (client_read, client_write) = client.into_split();
+        let (server_read, server_write) = server.into_split();
         tokio::join!(
-            self.relay(near_read, far_write, Way::Requests),
-            self.relay(far_read, near_write, Way::Answers),
+            self.relay(client_read, server_write, Direction::Requests),
+            self.relay(server_read, client_write, Direction::Answers),
         );
     }
 
-    async fn relay(&self, mut from: OwnedReadHalf, mut to: OwnedWriteHalf, way: Way) {
-        let lane = if way == Way::Requests { &self.requests } else { &self.answers };
-        let mut piece = vec![0; PIECE];
-        while let Ok(count @ 1..) = from.read(&mut piece).await {
+    async fn relay(&self, mut from: OwnedReadHalf, mut to: OwnedWriteHalf, direction: Direction) {
+        let link = if direction == Direction::Requests { &self.requests } else { &self.answers };
+        let mut chunk = vec![0; CHUNK_BYTES];
+        while let Ok(count @ 1..) = from.read(&mut chunk).await {
             let mode = *self.mode.borrow();
-            match (mode, way) {
-                (Mode::Silent, _) | (Mode::OneWay, Way::Answers) => continue,
+            match (mode, direction) {
+                (Mode::Silent, _) | (Mode::OneWay, Direction::Answers) => continue,
                 (Mode::Delay, _) => sleep(DELAY).await,
                 _ => {}
             }
-            lane.pass(count).await;
-            if to.write_all(&piece[..count]).await.is_err() {
+            link.transmit(count).await;
+            if to.write_all(&chunk[..count]).await.is_err() {
                 break;
             }
         }
@@ -120,33 +120,33 @@
 }
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Way {
+enum Direction {
     Requests,
     Answers,
 }
 
 /// One direction of a link, which all connections share.
 #[derive(Debug)]
-struct Lane {
-    speed: Speed,
+struct Link {
+    bandwidth: Bandwidth,
     /// When the bytes so far are through.
-    free: Mutex<Instant>,
+    idle_at: Mutex<Instant>,
 }
 
-impl Lane {
-    fn new(speed: Speed) -> Self {
-        Lane { speed, free: Mutex::new(Instant::now()) }
+impl Link {
+    fn new(bandwidth: Bandwidth) -> Self {
+        Link { bandwidth, idle_at: Mutex::new(Instant::now()) }
     }
 
     /// Waits until `count` bytes are through.
-    async fn pass(&self, count: usize) {
-        let Some(speed) = self.speed else { return };
-        let span = Duration::from_secs_f64(count as f64 / f64::from(speed));
-        let through = {
-            let mut free = self.free.lock().unwrap_or_else(PoisonError::into_inner);
-            *free = (*free).max(Instant::now()) + span;
-            *free
+    async fn transmit(&self, count: usize) {
+        let Some(bandwidth) = self.bandwidth else { return };
+        let span = Duration::from_secs_f64(count as f64 / f64::from(bandwidth));
+        let sent_at = {
+            let mut idle_at = self.idle_at.lock().unwrap_or_else(PoisonError::into_inner);
+            *idle_at = (*idle_at).max(Instant::now()) + span;
+            *idle_at
         };
-        sleep_until(through).await;
+        sleep_until(sent_at).await;
     }
 }
--- a/xtask/src/tools.rs
+++ b/xtask/src/tools.rs
@@ -12,12 +12,12 @@
     /// It was called wrongly.
     Usage(String),
     /// It was carried out and failed.
-    Chore(String),
+    Task(String),
 }
 
 impl From<std::io::Error> for Failure {
     fn from(error: std::io::Error) -> Self {
-        Failure::Chore(error.to_string())
+        Failure::Task(error.to_string())
     }
 }
 
@@ -42,7 +42,7 @@
     if status.success() {
         return Ok(());
     }
-    Err(Failure::Chore(format!("cargo {} failed", arguments.join(" "))))
+    Err(Failure::Task(format!("cargo {} failed", arguments.join(" "))))
 }
 
 /// Builds the programs as they are shipped and returns the folder they are in.
@@ -55,5 +55,5 @@
 
 /// Turns a missing value into a failure.
 pub(crate) fn require<T>(value: Option<T>, reason: &str) -> Result<T, Failure> {
-    value.ok_or_else(|| Failure::Chore(reason.to_owned()))
+    value.ok_or_else(|| Failure::Task(reason.to_owned()))
 }
