--- a/xtask/src/bench.rs
+++ b/xtask/src/bench.rs
@@ -1,4 +1,4 @@
-//! The measures of the project, as a table and as JSON lines.
+//! Benchmarks: prints each measurement and writes all of them as JSON lines.
 
 mod calls;
 mod chain;
@@ -13,19 +13,19 @@
 
 use crate::tools::{self, Failure};
 
-/// Sizes of fleets of real processes.
+/// Default fleet sizes of the benchmarks that run real processes, in nodes.
 const NODES: [usize; 3] = [10, 40, 120];
 
-/// Most nodes in one fleet of real processes; the stand-ins run inside this program.
-const NODES_LIMIT: usize = 140;
+/// Largest fleet of real processes, in nodes; their stand-ins run inside this process.
+const MAX_NODES: usize = 140;
 
-/// Sizes of fleets on in-memory ports.
+/// Fleet sizes of the simulation, in nodes.
 const MEMORY_NODES: [usize; 3] = [60, 120, 570];
 
-/// Parts of the bench that can be run alone.
+/// Parts that `--only` selects.
 const PARTS: [&str; 6] = ["memory", "overload", "libraries", "fleet", "calls", "chain"];
 
-/// Runs all measures, or those of one part.
+/// Runs all parts, or the one that `--only` names.
 pub(crate) fn run(mut arguments: Arguments) -> Result<(), Failure> {
     let usage = |e: pico_args::Error| Failure::Usage(e.to_string());
     let nodes: Option<String> = arguments.opt_value_from_str("--nodes").map_err(usage)?;
@@ -33,30 +33,33 @@
     let only: Option<String> = arguments.opt_value_from_str("--only").map_err(usage)?;
     tools::finish(arguments)?;
     if let Some(part) = only.as_deref().filter(|part| !PARTS.contains(part)) {
-        return Err(Failure::Usage(format!("unknown part {part}; there are {}", PARTS.join(", "))));
+        return Err(Failure::Usage(format!(
+            "unknown part {part}; valid parts: {}",
+            PARTS.join(", ")
+        )));
     }
-    let nodes = sizes(nodes.as_deref())?;
+    let nodes = parse_sizes(nodes.as_deref())?;
     let programs = tools::build()?;
     let mut report = report::Report::default();
-    let wanted = |part: &str| only.as_deref().is_none_or(|only| only == part);
-    if wanted("memory") {
+    let is_selected = |part: &str| only.as_deref().is_none_or(|only| only == part);
+    if is_selected("memory") {
         memory::run(&MEMORY_NODES, &mut report);
     }
-    if wanted("overload") {
+    if is_selected("overload") {
         overload::run(&mut report);
     }
-    if wanted("libraries") {
+    if is_selected("libraries") {
         libraries::run(&mut report)?;
     }
-    if wanted("fleet") {
+    if is_selected("fleet") {
         for &count in &nodes {
             fleet::run(&programs, count, &mut report)?;
         }
     }
-    if wanted("calls") {
+    if is_selected("calls") {
         calls::run(&programs, &mut report)?;
     }
-    if wanted("chain") {
+    if is_selected("chain") {
         chain::run(&programs, &mut report)?;
     }
     if let Some(path) = json {
@@ -65,11 +68,11 @@
     Ok(())
 }
 
-fn sizes(text: Option<&str>) -> Result<Vec<usize>, Failure> {
+fn parse_sizes(text: Option<&str>) -> Result<Vec<usize>, Failure> {
     let Some(text) = text else { return Ok(NODES.to_vec()) };
     let parse = |part: &str| {
-        let count = part.trim().parse().ok().filter(|count| (1..=NODES_LIMIT).contains(count));
-        count.ok_or_else(|| Failure::Usage(format!("{part} is not from 1 to {NODES_LIMIT}")))
+        let count = part.trim().parse().ok().filter(|count| (1..=MAX_NODES).contains(count));
+        count.ok_or_else(|| Failure::Usage(format!("--nodes: {part} is not from 1 to {MAX_NODES}")))
     };
     text.split(',').map(parse).collect()
 }
--- a/xtask/src/bench/calls.rs
+++ b/xtask/src/bench/calls.rs
@@ -1,4 +1,4 @@
-//! Measures of calls: added latency, and recovery when an upstream fails.
+//! Benchmarks of calls: latency and processor time that the nodes add, and recovery from faults.
 
 use rustix::process::Signal;
 use standins::{
@@ -24,18 +24,18 @@
 const UPSTREAMS: usize = 4;
 const SLOTS: usize = 10;
 const WORK: Duration = Duration::from_millis(20);
-const SPAN: Duration = Duration::from_secs(4);
-const LIMIT: Duration = Duration::from_secs(30);
+const RUN_TIME: Duration = Duration::from_secs(4);
+const READY_LIMIT: Duration = Duration::from_secs(30);
 const PROFILE: &str = r#"{"deadline_ms": 1500}"#;
 
-/// Name of the load of two callers.
+/// Name of the load with two callers.
 const LIGHT: &str = "light";
 
-/// Parallel callers per load, in per cent of all slots; light load is two callers.
+/// Loads and their parallel callers; a number is the percentage of all slots in use.
 const LOADS: [(&str, usize); 3] =
     [(LIGHT, 2), ("80", UPSTREAMS * SLOTS * 80 / 100), ("150", UPSTREAMS * SLOTS * 150 / 100)];
 
-/// A way in which one of four upstreams fails.
+/// A fault of one of the four upstreams or of its node.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     NodeKilled,
@@ -55,15 +55,15 @@
     ("ten-times-slower", Fault::TenTimesSlower),
 ];
 
-/// One finished call: when it was made, how long it took, whether it was answered.
+/// A finished call.
 #[derive(Clone, Copy, Debug)]
-struct Made {
-    begun: Instant,
+struct Sample {
+    started: Instant,
     elapsed: Duration,
     answered: bool,
 }
 
-/// Measures added latency at three loads and recovery from six faults.
+/// Measures added latency at each load and recovery from each fault.
 pub(crate) fn run(programs: &Path, report: &mut Report) -> Result<(), Failure> {
     let mesh = start(programs)?;
     for (name, callers) in LOADS {
@@ -94,27 +94,27 @@
         ("services/shelfview", Some(r#"{"profile": "p"}"#)),
     ]);
     let ready = mesh
-        .wait_in_force(revision, LIMIT)
-        .and_then(|_| mesh.wait_upstreams("paydesk", UPSTREAMS, LIMIT));
-    require(ready, "the mesh does not get ready")?;
-    // The upstreams' slow start is over after this.
+        .wait_in_force(revision, READY_LIMIT)
+        .and_then(|_| mesh.wait_upstreams("paydesk", UPSTREAMS, READY_LIMIT));
+    require(ready, "the mesh did not become ready")?;
+    // Waits until the slow start of the upstreams is over.
     thread::sleep(Duration::from_secs(2));
     Ok(mesh)
 }
 
 fn latency(mesh: &Mesh, load: &str, callers: usize, report: &mut Report) {
-    // At light load the upstreams answer at once: the timer of a stand-in that works for some ms
-    // is off by up to a ms, which would hide what the nodes add.
+    // At light load the upstreams answer at once: the timers of the stand-ins are accurate to 1 ms
+    // only, which would hide the latency that the nodes add.
     let work = if load == LIGHT { Duration::ZERO } else { WORK };
     mesh.spots.iter().for_each(|spot| spot.upstream.set_work(work));
     let upstreams: Vec<SocketAddr> = mesh.spots[1..].iter().map(|s| s.upstream.address()).collect();
-    let straight = drive(mesh, callers, "/balance", move |i| upstreams[i % UPSTREAMS]);
+    let direct = drive(mesh, callers, "/balance", move |i| upstreams[i % UPSTREAMS]);
     let entry = mesh.spots[0].traffic;
     let before = processor_times(mesh);
-    let through = drive(mesh, callers, "/paydesk/balance", move |_| entry);
+    let proxied = drive(mesh, callers, "/paydesk/balance", move |_| entry);
     let after = processor_times(mesh);
-    let (baseline, times) = (times_of(&straight), times_of(&through));
-    let answered = through.iter().filter(|m| m.answered).count();
+    let (baseline, times) = (latencies(&direct), latencies(&proxied));
+    let answered = proxied.iter().filter(|m| m.answered).count();
     report.add(
         Line::new("added_latency_ms", mesh.spots.len())
             .word("load", load)
@@ -123,11 +123,11 @@
             .figure("through_p99", times.ms(99.0))
             .figure("baseline_p99", baseline.ms(99.0))
             .count("trials", times.count())
-            .figure("calls_per_s", answered as f64 / SPAN.as_secs_f64())
-            .figure("not_answered_percent", 100.0 * (1.0 - answered as f64 / through.len() as f64)),
+            .figure("calls_per_s", answered as f64 / RUN_TIME.as_secs_f64())
+            .figure("not_answered_percent", 100.0 * (1.0 - answered as f64 / proxied.len() as f64)),
     );
     let used: Vec<f64> = after.iter().zip(&before).map(|(b, a)| b - a).collect();
-    let per_call = |seconds: f64| 1e6 * seconds / through.len() as f64;
+    let per_call = |seconds: f64| 1e6 * seconds / proxied.len() as f64;
     report.add(
         Line::new("processor_us_per_call", mesh.spots.len())
             .word("load", load)
@@ -136,7 +136,7 @@
     );
 }
 
-/// Returns the processor time that each node's process has used so far, in seconds.
+/// Returns the processor time that each node's process has used, in seconds.
 fn processor_times(mesh: &Mesh) -> Vec<f64> {
     let used = |node: usize| {
         let tasks = std::fs::read_dir(format!("/proc/{}/task", mesh.pid(node)?)).ok()?;
@@ -149,43 +149,43 @@
     (0..mesh.spots.len()).map(|node| used(node).unwrap_or(0.0)).collect()
 }
 
-/// Has `callers` make reads one after the other for a while.
+/// Runs `callers` parallel callers for [`RUN_TIME`]; each makes one call at a time.
 fn drive(
     mesh: &Mesh,
     callers: usize,
     path: &str,
     target: impl Fn(usize) -> SocketAddr,
-) -> Vec<Made> {
-    let until = Instant::now() + SPAN;
+) -> Vec<Sample> {
+    let until = Instant::now() + RUN_TIME;
     let tasks: Vec<_> = (0..callers)
         .map(|i| {
             let call = Call::get(path);
-            mesh.runtime().spawn(make(target(i), call, move || Instant::now() < until))
+            mesh.runtime().spawn(call_while(target(i), call, move || Instant::now() < until))
         })
         .collect();
     join(mesh, tasks)
 }
 
-fn join(mesh: &Mesh, tasks: Vec<JoinHandle<Vec<Made>>>) -> Vec<Made> {
+fn join(mesh: &Mesh, tasks: Vec<JoinHandle<Vec<Sample>>>) -> Vec<Sample> {
     tasks.into_iter().flat_map(|task| mesh.runtime().block_on(task).unwrap_or_default()).collect()
 }
 
-async fn make(target: SocketAddr, call: Call, go_on: impl Fn() -> bool) -> Vec<Made> {
+async fn call_while(target: SocketAddr, call: Call, keep_going: impl Fn() -> bool) -> Vec<Sample> {
     let mut caller = Caller::new(target);
-    let mut all = Vec::new();
-    while go_on() {
-        let begun = Instant::now();
+    let mut samples = Vec::new();
+    while keep_going() {
+        let started = Instant::now();
         let answer = caller.call(&call).await;
-        let elapsed = begun.elapsed();
-        // A stand-in that is called straight tells no outcome.
+        let elapsed = started.elapsed();
+        // An upstream that is called directly sends no outcome header.
         let answered = answer.as_ref().is_ok_and(|a| a.status == 200);
-        all.push(Made { begun, elapsed, answered });
+        samples.push(Sample { started, elapsed, answered });
         if !answered {
-            // Callers do as they are told and come back later.
+            // Backs off before the next call.
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
-    all
+    samples
 }
 
 fn recovery(mesh: &mut Mesh, name: &str, fault: Fault, report: &mut Report) -> Result<(), Failure> {
@@ -193,42 +193,43 @@
     let entry = mesh.spots[0].traffic;
     let spawn = |call: Call| {
         let running = running.clone();
-        mesh.runtime().spawn(make(entry, call, move || running.load(Ordering::SeqCst)))
+        mesh.runtime().spawn(call_while(entry, call, move || running.load(Ordering::SeqCst)))
     };
     let reads: Vec<_> = (0..8).map(|_| spawn(Call::get("/paydesk/balance"))).collect();
     let posts: Vec<_> = (0..8).map(|_| spawn(Call::post("/paydesk/pay", "w"))).collect();
     thread::sleep(Duration::from_secs(1));
-    let begun = Instant::now();
-    inflict(mesh, fault)?;
+    let started = Instant::now();
+    inject(mesh, fault)?;
     thread::sleep(Duration::from_secs(5));
     running.store(false, Ordering::SeqCst);
-    let reads: Vec<Made> = join(mesh, reads);
-    let posts: Vec<Made> = join(mesh, posts);
-    for (kind, made) in [("reads", &reads), ("posts", &posts)] {
-        let failed: Vec<&Made> = made.iter().filter(|m| !m.answered).collect();
-        let last_begun = failed.iter().map(|m| m.begun.duration_since(begun)).max();
-        let last_told = failed.iter().map(|m| (m.begun + m.elapsed).duration_since(begun)).max();
-        let after: Vec<Made> = made.iter().copied().filter(|m| m.begun >= begun).collect();
+    let reads: Vec<Sample> = join(mesh, reads);
+    let posts: Vec<Sample> = join(mesh, posts);
+    for (kind, samples) in [("reads", &reads), ("posts", &posts)] {
+        let failed: Vec<&Sample> = samples.iter().filter(|m| !m.answered).collect();
+        let last_failed_start = failed.iter().map(|m| m.started.duration_since(started)).max();
+        let last_reported =
+            failed.iter().map(|m| (m.started + m.elapsed).duration_since(started)).max();
+        let after: Vec<Sample> = samples.iter().copied().filter(|m| m.started >= started).collect();
         report.add(
             Line::new("recovery_ms", mesh.spots.len())
                 .word("fault", name)
                 .word("calls", kind)
-                .figure("value", last_begun.unwrap_or_default().as_secs_f64() * 1e3)
-                .figure("last_told_ms", last_told.unwrap_or_default().as_secs_f64() * 1e3)
+                .figure("value", last_failed_start.unwrap_or_default().as_secs_f64() * 1e3)
+                .figure("last_told_ms", last_reported.unwrap_or_default().as_secs_f64() * 1e3)
                 .count("failed", failed.len() as u64)
-                .count("made", made.len() as u64)
-                .figure("p99_after", times_of(&after).ms(99.0)),
+                .count("made", samples.len() as u64)
+                .figure("p99_after", latencies(&after).ms(99.0)),
         );
     }
     Ok(())
 }
 
-fn inflict(mesh: &mut Mesh, fault: Fault) -> Result<(), Failure> {
-    let victim = 2;
-    let upstream = mesh.spots[victim].upstream.clone();
+fn inject(mesh: &mut Mesh, fault: Fault) -> Result<(), Failure> {
+    let target = 2;
+    let upstream = mesh.spots[target].upstream.clone();
     match fault {
-        Fault::NodeKilled => mesh.kill_node(victim)?,
-        Fault::NodeFrozen => mesh.signal_node(victim, Signal::STOP)?,
+        Fault::NodeKilled => mesh.kill_node(target)?,
+        Fault::NodeFrozen => mesh.signal_node(target, Signal::STOP)?,
         Fault::UpstreamKilled => upstream.kill(),
         Fault::UpstreamFrozen => upstream.set_mode(Mode::Frozen),
         Fault::UpstreamSilent => upstream.set_mode(Mode::Silent),
@@ -237,8 +238,8 @@
     Ok(())
 }
 
-fn times_of(made: &[Made]) -> Times {
+fn latencies(samples: &[Sample]) -> Times {
     let mut times = Times::default();
-    made.iter().filter(|m| m.answered).for_each(|m| times.add(m.elapsed));
+    samples.iter().filter(|m| m.answered).for_each(|m| times.add(m.elapsed));
     times
 }
--- a/xtask/src/bench/chain.rs
+++ b/xtask/src/bench/chain.rs
@@ -1,5 +1,5 @@
-//! Calls through a chain of services: added time per hop, and calls at each level when the last
-//! service fails.
+//! Benchmarks of calls through a chain of services: added latency per hop, and retry amplification
+//! when the last service fails.
 
 use standins::{
     caller::{Call, Caller},
@@ -15,17 +15,17 @@
 use super::report::{Line, Report, Times};
 use crate::tools::{Failure, require};
 
-/// Depth of the chain, as deep as the users' calls go.
+/// Services in the chain.
 const DEPTH: usize = 27;
 
-/// Upstreams of each service, so that there is another one to retry at.
+/// Upstreams of each service; a second one makes retries possible.
 const WIDTH: usize = 2;
 
 const CALLS: u64 = 200;
-const LIMIT: Duration = Duration::from_secs(30);
+const READY_LIMIT: Duration = Duration::from_secs(30);
 const PROFILE: &str = r#"{"deadline_ms": 10000}"#;
 
-/// Measures a whole chain, then one whose last service breaks off every call.
+/// Measures a healthy chain, then one whose last service closes the connection of every call.
 pub(crate) fn run(programs: &Path, report: &mut Report) -> Result<(), Failure> {
     let mesh = start(programs)?;
     let times = drive(&mesh, CALLS);
@@ -35,19 +35,19 @@
             .times(&times)
             .figure("p50_per_hop", times.ms(50.0) / DEPTH as f64),
     );
-    let before = runs(&mesh);
+    let before = runs_per_level(&mesh);
     for spot in &mesh.spots[(DEPTH - 1) * WIDTH..] {
         spot.upstream.set_mode(Mode::CloseAfter);
     }
     drive(&mesh, CALLS);
-    let after = runs(&mesh);
+    let after = runs_per_level(&mesh);
     let calls: Vec<u64> = after.iter().zip(&before).map(|(b, a)| b - a).collect();
-    let inner = calls[..DEPTH - 1].iter().copied().max().unwrap_or(0);
+    let max_inner = calls[..DEPTH - 1].iter().copied().max().unwrap_or(0);
     report.add(
         Line::new("chain_calls", mesh.spots.len())
             .count("depth", DEPTH as u64)
             .count("calls", CALLS)
-            .count("most_at_inner_level", inner)
+            .count("most_at_inner_level", max_inner)
             .count("at_failing_leaf", calls[DEPTH - 1]),
     );
     Ok(())
@@ -70,9 +70,9 @@
     documents.extend(keys.iter().map(|key| (key.as_str(), Some(r#"{"profile": "p"}"#))));
     let revision = mesh.platform.publish(&documents);
     let ready = mesh
-        .wait_in_force(revision, LIMIT)
-        .and_then(|_| mesh.wait_upstreams("level-26", WIDTH, LIMIT));
-    require(ready, "the chain does not get ready")?;
+        .wait_in_force(revision, READY_LIMIT)
+        .and_then(|_| mesh.wait_upstreams("level-26", WIDTH, READY_LIMIT));
+    require(ready, "the chain did not become ready")?;
     thread::sleep(Duration::from_secs(3));
     Ok(mesh)
 }
@@ -83,17 +83,17 @@
         let mut times = Times::default();
         let mut caller = Caller::new(entry);
         for _ in 0..calls {
-            let begun = Instant::now();
+            let started = Instant::now();
             if caller.call(&Call::get("/level-0/x")).await.is_ok_and(|a| a.status == 200) {
-                times.add(begun.elapsed());
+                times.add(started.elapsed());
             }
         }
         times
     })
 }
 
-/// Returns the calls that were run at each level.
-fn runs(mesh: &Mesh) -> Vec<u64> {
+/// Returns the number of requests that the upstreams of each level have run.
+fn runs_per_level(mesh: &Mesh) -> Vec<u64> {
     mesh.spots
         .chunks(WIDTH)
         .map(|level| level.iter().map(|spot| spot.upstream.ledger().runs).sum())
--- a/xtask/src/bench/fleet.rs
+++ b/xtask/src/bench/fleet.rs
@@ -1,4 +1,5 @@
-//! Measures of fleets of real processes: convergence, bytes, reads, processor time, memory, herds.
+//! Benchmarks of fleets of real processes: convergence time, control traffic, platform reads,
+//! processor time, memory and mass restart.
 
 use fleet::timeline::{Event, Kind};
 use standins::{
@@ -18,12 +19,12 @@
 const CHANGES: u64 = 25;
 const SERVICES: [&str; 5] = ["shelfview", "paydesk", "ledgerhub", "forecast", "groups"];
 const DATA_CENTRES: [&str; 2] = ["ktm-a", "lalitpur-b"];
-const SETTLE: Duration = Duration::from_secs(8);
-const IDLE: Duration = Duration::from_secs(10);
-const PAUSE: Duration = Duration::from_millis(250);
-const LIMIT: Duration = Duration::from_secs(30);
+const SETTLE_TIME: Duration = Duration::from_secs(8);
+const IDLE_TIME: Duration = Duration::from_secs(10);
+const CHANGE_INTERVAL: Duration = Duration::from_millis(250);
+const CONVERGENCE_LIMIT: Duration = Duration::from_secs(30);
 
-/// Measures a fleet of `count` nodes.
+/// Runs the benchmarks with `count` nodes.
 pub(crate) fn run(programs: &Path, count: usize, report: &mut Report) -> Result<(), Failure> {
     let mut instances = places(&SERVICES, &DATA_CENTRES, count.div_ceil(10));
     instances.truncate(count);
@@ -35,11 +36,14 @@
     };
     let mut mesh = Mesh::start(&settings)?;
     let revision = publish_first(&mesh);
-    require(mesh.wait_in_force(revision, LIMIT), "the first version does not come into force")?;
-    thread::sleep(SETTLE);
-    idle(&mesh, count, report)?;
-    changes(&mesh, count, report)?;
-    herd(&mut mesh, count, report)
+    require(
+        mesh.wait_in_force(revision, CONVERGENCE_LIMIT),
+        "the first version did not come into force at every node",
+    )?;
+    thread::sleep(SETTLE_TIME);
+    measure_idle(&mesh, count, report)?;
+    measure_changes(&mesh, count, report)?;
+    restart_all(&mut mesh, count, report)
 }
 
 fn publish_first(mesh: &Mesh) -> u64 {
@@ -49,87 +53,93 @@
     mesh.platform.publish(&documents)
 }
 
-fn idle(mesh: &Mesh, count: usize, report: &mut Report) -> Result<(), Failure> {
+fn measure_idle(mesh: &Mesh, count: usize, report: &mut Report) -> Result<(), Failure> {
     let cpu_before = control_seconds(mesh);
-    let (bytes, reads, begun) = (loopback_bytes()?, mesh.platform.reads(), Instant::now());
-    thread::sleep(IDLE);
-    let span = begun.elapsed().as_secs_f64();
-    let moved = loopback_bytes()? - bytes;
-    let read = mesh.platform.reads() - reads;
+    let (bytes, reads, started) = (loopback_bytes()?, mesh.platform.reads(), Instant::now());
+    thread::sleep(IDLE_TIME);
+    let span = started.elapsed().as_secs_f64();
+    let bytes_moved = loopback_bytes()? - bytes;
+    let new_reads = mesh.platform.reads() - reads;
     let cpu = control_seconds(mesh).iter().zip(&cpu_before).map(|(b, a)| b - a).fold(0.0, f64::max);
     report.add(
         Line::new("control_bytes_per_s", count)
-            .figure("value", per_node(moved, count) / span)
+            .figure("value", per_node(bytes_moved, count) / span)
             .word("counted", "loopback interface, sent and received, headers included"),
     );
-    report.add(Line::new("source_reads_per_s", count).figure("value", read as f64 / span));
+    report.add(Line::new("source_reads_per_s", count).figure("value", new_reads as f64 / span));
     report.add(Line::new("control_cpu_percent", count).figure("value", 100.0 * cpu / span));
     let memory = (0..mesh.spots.len()).filter_map(|i| memory_mb(mesh.pid(i)?)).fold(0.0, f64::max);
     report.add(Line::new("node_memory_mb", count).figure("value", memory));
     Ok(())
 }
 
-fn changes(mesh: &Mesh, count: usize, report: &mut Report) -> Result<(), Failure> {
+fn measure_changes(mesh: &Mesh, count: usize, report: &mut Report) -> Result<(), Failure> {
     let mut times = Times::default();
-    let (bytes, begun) = (loopback_bytes()?, Instant::now());
+    let (bytes, started) = (loopback_bytes()?, Instant::now());
     let mut published = Vec::new();
     for change in 1..=CHANGES {
         let text = format!(r#"{{"deadline_ms": {}}}"#, 1_000 + change);
         let at = wall_ms();
         published.push((mesh.platform.publish(&[("profiles/base", Some(&text))]), at));
-        thread::sleep(PAUSE);
+        thread::sleep(CHANGE_INTERVAL);
     }
     thread::sleep(Duration::from_secs(2));
-    let (moved, span) = (loopback_bytes()? - bytes, begun.elapsed().as_secs_f64());
+    let (bytes_moved, span) = (loopback_bytes()? - bytes, started.elapsed().as_secs_f64());
     let arrivals: Vec<Vec<(u64, u64)>> = (0..mesh.spots.len()).map(|i| arrivals(mesh, i)).collect();
     for (revision, at) in published {
-        let reached = |node: &Vec<(u64, u64)>| {
+        let in_force_at = |node: &Vec<(u64, u64)>| {
             node.iter().find(|(held, _)| *held >= revision).map(|(_, when)| *when)
         };
-        let last: Option<Vec<u64>> = arrivals.iter().map(reached).collect();
+        let last: Option<Vec<u64>> = arrivals.iter().map(in_force_at).collect();
         let last = last.and_then(|all| all.into_iter().max());
-        let last = require(last, "a change did not reach every node")?;
+        let last = require(last, "a change did not come into force at every node")?;
         times.add(Duration::from_millis(last.saturating_sub(at)));
     }
     report.add(Line::new("convergence_ms", count).times(&times));
     report.add(
         Line::new("control_bytes_per_change", count)
-            .figure("value", per_node(moved, count) / CHANGES as f64)
+            .figure("value", per_node(bytes_moved, count) / CHANGES as f64)
             .figure("seconds", span)
             .word("counted", "all bytes of the span divided by its changes, idle bytes included"),
     );
     Ok(())
 }
 
-/// Kills and restarts every node at once.
-fn herd(mesh: &mut Mesh, count: usize, report: &mut Report) -> Result<(), Failure> {
+/// Kills all nodes, restarts them at once and measures the time until all have the newest version.
+fn restart_all(mesh: &mut Mesh, count: usize, report: &mut Report) -> Result<(), Failure> {
     let newest = mesh.platform.publish(&[("profiles/base", Some(r#"{"deadline_ms": 9000}"#))]);
-    require(mesh.wait_in_force(newest, LIMIT), "a version does not come into force")?;
+    require(
+        mesh.wait_in_force(newest, CONVERGENCE_LIMIT),
+        "the version before the restart did not come into force at every node",
+    )?;
     for node in 0..mesh.spots.len() {
         mesh.kill_node(node)?;
     }
     mesh.platform.take_peak();
-    let begun = wall_ms();
+    let begin_ms = wall_ms();
     for node in 0..mesh.spots.len() {
         mesh.start_node(node)?;
     }
-    let started = wall_ms();
-    require(mesh.wait_in_force(newest, LIMIT), "the herd does not come back")?;
+    let spawned_ms = wall_ms();
+    require(
+        mesh.wait_in_force(newest, CONVERGENCE_LIMIT),
+        "the nodes did not return to the newest version after the restart",
+    )?;
     let last = (0..mesh.spots.len())
         .filter_map(|i| arrivals(mesh, i).into_iter().find(|(held, _)| *held >= newest))
         .map(|(_, when)| when)
         .max()
-        .unwrap_or(begun);
+        .unwrap_or(begin_ms);
     report.add(
         Line::new("herd_restart_ms", count)
-            .figure("value", last.saturating_sub(begun) as f64)
-            .figure("starting_processes_ms", (started - begun) as f64)
+            .figure("value", last.saturating_sub(begin_ms) as f64)
+            .figure("starting_processes_ms", (spawned_ms - begin_ms) as f64)
             .count("peak_reads_per_s", mesh.platform.take_peak() as u64),
     );
     Ok(())
 }
 
-/// Returns the revisions that came into force at a node, with the wall clock in ms.
+/// Returns the revisions that came into force at a node, each with its time in ms of Unix time.
 fn arrivals(mesh: &Mesh, node: usize) -> Vec<(u64, u64)> {
     let page = mesh.page(node, "/timeline?scope=node").unwrap_or_default();
     let events: Vec<Event> = serde_json::from_str(&page).unwrap_or_default();
@@ -142,7 +152,7 @@
         .collect()
 }
 
-/// Returns the processor time of the control part of each node, in seconds.
+/// Returns the processor time that the control plane of each node has used, in seconds.
 fn control_seconds(mesh: &Mesh) -> Vec<f64> {
     (0..mesh.spots.len())
         .map(|node| {
@@ -153,15 +163,15 @@
         .collect()
 }
 
-/// Returns the bytes that the loopback interface has sent so far.
+/// Returns the bytes that the loopback interface has sent.
 fn loopback_bytes() -> Result<u64, Failure> {
     let table = fs::read_to_string("/proc/net/dev")?;
     let line = table.lines().find_map(|line| line.trim().strip_prefix("lo:"));
     let sent = line.and_then(|line| line.split_whitespace().nth(8)?.parse().ok());
-    require(sent, "the loopback interface's counters cannot be read")
+    require(sent, "/proc/net/dev has no counters of the loopback interface")
 }
 
-/// Each byte on the loopback interface was sent by one process and received by another.
+/// Returns the bytes per node; each loopback byte counts for its sender and its receiver.
 fn per_node(bytes: u64, count: usize) -> f64 {
     2.0 * bytes as f64 / count as f64
 }
--- a/xtask/src/bench/libraries.rs
+++ b/xtask/src/bench/libraries.rs
@@ -1,4 +1,4 @@
-//! What the HTTP libraries of the house list cost per call, beside the one chosen for calls.
+//! Benchmarks of HTTP libraries: the time of one call on loopback with each client and server.
 
 use standins::{
     caller::{Call, Caller},
@@ -16,9 +16,9 @@
 use crate::tools::Failure;
 
 const CALLS: usize = 3_000;
-const WARM: usize = 200;
+const WARM_UP_CALLS: usize = 200;
 
-/// Measures one caller's reads, one after the other.
+/// Measures sequential reads of one caller for each pair of client and server.
 pub(crate) fn run(report: &mut Report) -> Result<(), Failure> {
     let runtime = Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
     let server = Server::http("127.0.0.1:0").map_err(|e| Failure::Task(e.to_string()))?;
@@ -29,11 +29,11 @@
         }
     });
     let upstream = Upstream::start(Settings::default(), runtime.handle())?;
-    add(report, "attohttpc to tiny_http", time(|| fetch(tiny)));
+    add(report, "attohttpc to tiny_http", measure(|| fetch(tiny)));
     let hyper = |target: SocketAddr| {
         let mut caller = Caller::new(target);
         let call = Call::get("/x");
-        time(|| runtime.block_on(caller.call(&call)).is_ok())
+        measure(|| runtime.block_on(caller.call(&call)).is_ok())
     };
     add(report, "hyper to tiny_http", hyper(tiny));
     add(report, "hyper to hand-written", hyper(upstream.address()));
@@ -44,13 +44,13 @@
     attohttpc::get(format!("http://{address}/x")).send().and_then(|a| a.bytes()).is_ok()
 }
 
-fn time(mut call: impl FnMut() -> bool) -> Times {
+fn measure(mut call: impl FnMut() -> bool) -> Times {
     let mut times = Times::default();
-    for i in 0..CALLS + WARM {
-        let begun = Instant::now();
+    for i in 0..CALLS + WARM_UP_CALLS {
+        let started = Instant::now();
         let answered = call();
-        let elapsed: Duration = begun.elapsed();
-        if answered && i >= WARM {
+        let elapsed: Duration = started.elapsed();
+        if answered && i >= WARM_UP_CALLS {
             times.add(elapsed);
         }
     }
--- a/xtask/src/bench/memory.rs
+++ b/xtask/src/bench/memory.rs
@@ -1,7 +1,7 @@
-//! Ways of spreading a version, compared on in-memory ports with a virtual clock.
+//! Benchmarks of dissemination strategies in the deterministic simulation.
 //!
-//! The decision code is the product's own; only messages and bytes are counted and times are those
-//! of the virtual clock, at one millisecond per message.
+//! The nodes run the code of the fleet crate. Messages and bytes are counted; times are those of the
+//! virtual clock, at one millisecond per message.
 
 use fleet::dissemination::{Epidemic, Pull, Strategy, Tree};
 use standins::memory::{Net, Options};
@@ -10,15 +10,15 @@
 use super::report::{Line, Report, Times};
 
 const CHANGES: u64 = 10;
-const SETTLE: Duration = Duration::from_secs(60);
-const IDLE: Duration = Duration::from_secs(20);
-const AFTER: Duration = Duration::from_millis(1_500);
-const LIMIT: Duration = Duration::from_secs(30);
+const SETTLE_TIME: Duration = Duration::from_secs(60);
+const IDLE_TIME: Duration = Duration::from_secs(20);
+const CHANGE_INTERVAL: Duration = Duration::from_millis(1_500);
+const CONVERGENCE_LIMIT: Duration = Duration::from_secs(30);
 
-/// A way of spreading and its name.
-type Way = (&'static str, fn() -> Box<dyn Strategy>);
+/// The name of a strategy and its constructor.
+type Variant = (&'static str, fn() -> Box<dyn Strategy>);
 
-const WAYS: [Way; 4] = [
+const STRATEGIES: [Variant; 4] = [
     ("epidemic", || Box::new(Epidemic::default())),
     ("epidemic-no-ring", || {
         Box::new(Epidemic { min_local: 2, max_local: 5, successors: 0, ..Epidemic::default() })
@@ -27,16 +27,16 @@
     ("pull", || Box::new(Pull)),
 ];
 
-/// Measures every way at every size.
+/// Measures every strategy at every fleet size.
 pub(crate) fn run(sizes: &[usize], report: &mut Report) {
     for &nodes in sizes {
-        for way in WAYS {
-            measure(nodes, way, report);
+        for strategy in STRATEGIES {
+            measure(nodes, strategy, report);
         }
     }
 }
 
-fn measure(nodes: usize, (name, dissemination): Way, report: &mut Report) {
+fn measure(nodes: usize, (name, dissemination): Variant, report: &mut Report) {
     let mut net = Net::new(Options {
         nodes,
         data_centres: 6,
@@ -49,26 +49,27 @@
     for service in 0..48 {
         net.publish(&format!("services/service-{service}"), Some(r#"{"profile": "base"}"#));
     }
-    net.run(SETTLE);
+    net.run(SETTLE_TIME);
     net.take_counts();
-    net.run(IDLE);
+    net.run(IDLE_TIME);
     let idle = net.take_counts();
-    // A node moves a message's bytes once as sender and once as receiver.
+    // Each message counts for its sender and its receiver.
     let per_second =
         |bytes: u64, span: Duration| 2.0 * bytes as f64 / span.as_secs_f64() / nodes as f64;
-    let idle_bytes = per_second(idle.bytes, IDLE);
+    let idle_bytes = per_second(idle.bytes, IDLE_TIME);
     let mut times = Times::default();
     for change in 1..=CHANGES {
         let revision = net.publish("profiles/base", Some(&text(change)));
-        if let Some(time) = net.run_until_in_force(revision, LIMIT) {
+        if let Some(time) = net.run_until_in_force(revision, CONVERGENCE_LIMIT) {
             times.add(time);
         }
-        net.run(AFTER);
+        net.run(CHANGE_INTERVAL);
     }
-    let begun = net.take_counts();
-    let span = AFTER.as_secs_f64() * CHANGES as f64 + times.ms(50.0) / 1e3 * CHANGES as f64;
+    let changing = net.take_counts();
+    let span =
+        CHANGE_INTERVAL.as_secs_f64() * CHANGES as f64 + times.ms(50.0) / 1e3 * CHANGES as f64;
     let change_bytes =
-        (2.0 * begun.bytes as f64 / nodes as f64 - idle_bytes * span) / CHANGES as f64;
+        (2.0 * changing.bytes as f64 / nodes as f64 - idle_bytes * span) / CHANGES as f64;
     let tag = |line: Line| line.word("ports", "memory").word("plan", name);
     report.add(tag(Line::new("convergence_ms", nodes)).times(&times));
     report.add(
@@ -76,6 +77,6 @@
             .figure("value", idle_bytes)
             .figure("per_change", change_bytes.max(0.0)),
     );
-    let reads = idle.reads as f64 / IDLE.as_secs_f64();
+    let reads = idle.reads as f64 / IDLE_TIME.as_secs_f64();
     report.add(tag(Line::new("source_reads_per_s", nodes)).figure("value", reads));
 }
--- a/xtask/src/bench/overload.rs
+++ b/xtask/src/bench/overload.rs
@@ -1,7 +1,7 @@
-//! The decisions on calls against simple baselines, on a virtual clock.
+//! Discrete-event simulation that compares the call policies with simple baselines.
 //!
-//! Calls arrive at a fixed rate at four upstreams. The product's admission, choice and budget stand
-//! beside a round robin, an unbounded queue and retries without budget. Only the decisions differ.
+//! Calls arrive at random with a fixed mean rate at four upstreams. The baselines replace one policy
+//! each: round robin, an unbounded queue, and retries without a budget.
 
 use model::time::Time;
 use policy::{
@@ -24,219 +24,228 @@
 const SLOTS: usize = 10;
 const WORK: Duration = Duration::from_millis(10);
 const DEADLINE: Duration = Duration::from_millis(200);
-const SPAN: Duration = Duration::from_secs(20);
-const QUEUE: usize = 16;
+const RUN_TIME: Duration = Duration::from_secs(20);
+const QUEUE_LENGTH: usize = 16;
 
-/// One way of deciding.
+/// A combination of call policies.
 #[derive(Clone, Copy)]
-struct Way {
+struct Policies {
     name: &'static str,
     round_robin: bool,
-    queue: usize,
-    hopeless_refused: bool,
+    max_queued: usize,
+    deadline_aware: bool,
     budget_percent: Option<u32>,
 }
 
-const PRODUCT: Way = Way {
+const PRODUCT: Policies = Policies {
     name: "product",
     round_robin: false,
-    queue: QUEUE,
-    hopeless_refused: true,
+    max_queued: QUEUE_LENGTH,
+    deadline_aware: true,
     budget_percent: Some(10),
 };
-const ROUND_ROBIN: Way = Way { name: "round-robin", round_robin: true, ..PRODUCT };
-const UNBOUNDED: Way =
-    Way { name: "unbounded-queue", queue: usize::MAX, hopeless_refused: false, ..PRODUCT };
-const NO_BUDGET: Way = Way { name: "no-retry-budget", budget_percent: None, ..PRODUCT };
+const ROUND_ROBIN: Policies = Policies { name: "round-robin", round_robin: true, ..PRODUCT };
+const UNBOUNDED: Policies =
+    Policies { name: "unbounded-queue", max_queued: usize::MAX, deadline_aware: false, ..PRODUCT };
+const NO_BUDGET: Policies = Policies { name: "no-retry-budget", budget_percent: None, ..PRODUCT };
 
-/// A trial: the load in per cent of capacity, and how many times slower the first upstream is.
+/// Conditions of one simulation.
 #[derive(Clone, Copy)]
-struct Trial {
-    load: u32,
-    slow: u32,
-    broken: bool,
+struct Scenario {
+    load_percent: u32,
+    slowdown: u32,
+    failing: bool,
 }
 
-/// What came of a trial.
+/// Counts and times of one simulation.
 #[derive(Default)]
-struct Result {
+struct Totals {
     answered: u64,
     offered: u64,
     calls: u64,
     times: Times,
 }
 
-/// Measures every way under overload, beside a slow upstream, and with all upstreams broken.
+/// Compares the policies under overload, with one slow upstream, and with all upstreams failing.
 pub(crate) fn run(report: &mut Report) {
-    let best = trial(PRODUCT, Trial { load: 95, slow: 1, broken: false }).answered as f64;
+    let best = simulate(PRODUCT, Scenario { load_percent: 95, slowdown: 1, failing: false })
+        .answered as f64;
     for load in [150, 300] {
-        for way in [PRODUCT, UNBOUNDED, NO_BUDGET] {
-            let result = trial(way, Trial { load, slow: 1, broken: false });
+        for policies in [PRODUCT, UNBOUNDED, NO_BUDGET] {
+            let totals =
+                simulate(policies, Scenario { load_percent: load, slowdown: 1, failing: false });
             report.add(
-                line("goodput_percent_of_best", way)
+                line("goodput_percent_of_best", policies)
                     .count("load", load.into())
-                    .figure("value", 100.0 * result.answered as f64 / best),
+                    .figure("value", 100.0 * totals.answered as f64 / best),
             );
         }
     }
-    for way in [PRODUCT, ROUND_ROBIN] {
-        let result = trial(way, Trial { load: 50, slow: 10, broken: false });
-        let lost = 100.0 * (result.calls - result.answered) as f64 / result.calls as f64;
-        report.add(line("slow_upstream_ms", way).times(&result.times).figure("lost_percent", lost));
+    for policies in [PRODUCT, ROUND_ROBIN] {
+        let totals =
+            simulate(policies, Scenario { load_percent: 50, slowdown: 10, failing: false });
+        let lost = 100.0 * (totals.calls - totals.answered) as f64 / totals.calls as f64;
+        report.add(
+            line("slow_upstream_ms", policies).times(&totals.times).figure("lost_percent", lost),
+        );
     }
-    for way in [PRODUCT, NO_BUDGET] {
-        let result = trial(way, Trial { load: 50, slow: 1, broken: true });
-        let extra = 100.0 * (result.offered as f64 / result.calls as f64 - 1.0);
-        report.add(line("extra_calls_percent", way).figure("value", extra));
+    for policies in [PRODUCT, NO_BUDGET] {
+        let totals = simulate(policies, Scenario { load_percent: 50, slowdown: 1, failing: true });
+        let extra = 100.0 * (totals.offered as f64 / totals.calls as f64 - 1.0);
+        report.add(line("extra_calls_percent", policies).figure("value", extra));
     }
 }
 
-fn line(measure: &str, way: Way) -> Line {
-    Line::new(measure, UPSTREAMS).word("ports", "memory").word("way", way.name)
+fn line(measure: &str, policies: Policies) -> Line {
+    Line::new(measure, UPSTREAMS).word("ports", "memory").word("way", policies.name)
 }
 
-/// Something due in a trial.
+/// An event of the simulation.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-enum Due {
-    Arrive,
-    Finish { upstream: usize, call: u64 },
+enum Event {
+    Arrival,
+    Completion { upstream: usize, call: u64 },
 }
 
-/// A call on its way.
+/// A call in flight.
 #[derive(Clone, Copy)]
 struct Call {
-    begun: Time,
-    made: u32,
+    started: Time,
+    attempts: u32,
     tried: [bool; UPSTREAMS],
 }
 
-/// All state of a trial.
-struct Run {
-    way: Way,
-    trial: Trial,
+/// State of one simulation.
+struct Simulation {
+    policies: Policies,
+    scenario: Scenario,
     now: Time,
-    agenda: BinaryHeap<Reverse<(Time, u64, Due)>>,
-    number: u64,
-    gates: Vec<Limiter>,
+    events: BinaryHeap<Reverse<(Time, u64, Event)>>,
+    last_id: u64,
+    limiters: Vec<Limiter>,
     records: Vec<Record>,
     calls: HashMap<u64, Call>,
     budget: Budget,
     random: SmallRng,
-    turn: usize,
-    result: Result,
+    next_upstream: usize,
+    totals: Totals,
 }
 
-fn trial(way: Way, trial: Trial) -> Result {
-    let mut run = Run {
-        way,
-        trial,
+fn simulate(policies: Policies, scenario: Scenario) -> Totals {
+    let mut simulation = Simulation {
+        policies,
+        scenario,
         now: Time::default(),
-        agenda: BinaryHeap::new(),
-        number: 0,
-        gates: (0..UPSTREAMS).map(|_| Limiter::new(SLOTS)).collect(),
+        events: BinaryHeap::new(),
+        last_id: 0,
+        limiters: (0..UPSTREAMS).map(|_| Limiter::new(SLOTS)).collect(),
         records: (0..UPSTREAMS).map(|_| Record::new(Time::default())).collect(),
         calls: HashMap::new(),
         budget: Budget::default(),
         random: SmallRng::seed_from_u64(9),
-        turn: 0,
-        result: Result::default(),
+        next_upstream: 0,
+        totals: Totals::default(),
     };
-    run.put(Duration::ZERO, Due::Arrive);
-    while let Some(Reverse((at, _, due))) = run.agenda.pop() {
-        if at > Time::default() + SPAN {
+    simulation.schedule(Duration::ZERO, Event::Arrival);
+    while let Some(Reverse((at, _, event))) = simulation.events.pop() {
+        if at > Time::default() + RUN_TIME {
             break;
         }
-        run.now = at;
-        match due {
-            Due::Arrive => run.arrive(),
-            Due::Finish { upstream, call } => run.finish(upstream, call),
+        simulation.now = at;
+        match event {
+            Event::Arrival => simulation.accept_call(),
+            Event::Completion { upstream, call } => simulation.complete(upstream, call),
         }
     }
-    run.result
+    simulation.totals
 }
 
-impl Run {
-    fn arrive(&mut self) {
+impl Simulation {
+    fn accept_call(&mut self) {
         let capacity = (UPSTREAMS * SLOTS) as f64 / WORK.as_secs_f64();
-        let rate = capacity * f64::from(self.trial.load) / 100.0;
+        let rate = capacity * f64::from(self.scenario.load_percent) / 100.0;
         let gap = -self.random.random_range(f64::EPSILON..1.0f64).ln() / rate;
-        self.put(Duration::from_secs_f64(gap), Due::Arrive);
-        if let Some(percent) = self.way.budget_percent {
+        self.schedule(Duration::from_secs_f64(gap), Event::Arrival);
+        if let Some(percent) = self.policies.budget_percent {
             self.budget.earn(percent);
         }
-        self.result.calls += 1;
-        self.number += 1;
-        let call = self.number;
-        self.calls.insert(call, Call { begun: self.now, made: 0, tried: [false; UPSTREAMS] });
-        self.offer(call);
+        self.totals.calls += 1;
+        self.last_id += 1;
+        let call = self.last_id;
+        self.calls.insert(call, Call { started: self.now, attempts: 0, tried: [false; UPSTREAMS] });
+        self.dispatch(call);
     }
 
-    /// Offers a call to one upstream after the other until one takes it or it is given up.
-    fn offer(&mut self, number: u64) {
+    /// Offers a call to upstreams in turn until one admits it or no retry is allowed.
+    fn dispatch(&mut self, id: u64) {
         loop {
-            let Some(upstream) = self.choose(number) else { return self.drop_call(number) };
-            let call = self.calls.get_mut(&number).expect("the call is on its way");
-            call.made += 1;
+            let Some(upstream) = self.choose(id) else { return self.abandon(id) };
+            let call = self.calls.get_mut(&id).expect("the call is in flight");
+            call.attempts += 1;
             call.tried[upstream] = true;
-            let (made, deadline) = (call.made, call.begun + DEADLINE);
-            self.result.offered += 1;
+            let (attempts, deadline) = (call.attempts, call.started + DEADLINE);
+            self.totals.offered += 1;
             self.records[upstream].begin();
-            let limit = if self.way.hopeless_refused { deadline } else { deadline + SPAN };
-            match self.gates[upstream].admit(Ticket(number), self.now, limit, self.way.queue) {
-                Decision::Run => return self.work(upstream, number),
+            let limit = if self.policies.deadline_aware { deadline } else { deadline + RUN_TIME };
+            match self.limiters[upstream].admit(
+                Ticket(id),
+                self.now,
+                limit,
+                self.policies.max_queued,
+            ) {
+                Decision::Run => return self.start_work(upstream, id),
                 Decision::Wait(_) => return,
                 Decision::Refuse(after) => {
                     self.records[upstream].end(self.now, Sample::Refused);
-                    if !self.again(Outcome::NotRun(Cause::Overloaded, after), made) {
-                        return self.drop_call(number);
+                    if !self.may_retry(Outcome::NotRun(Cause::Overloaded, after), attempts) {
+                        return self.abandon(id);
                     }
                 }
             }
         }
     }
 
-    fn work(&mut self, upstream: usize, call: u64) {
-        let slow = if upstream == 0 { self.trial.slow } else { 1 };
-        let work = (WORK * slow).mul_f64(self.random.random_range(0.5..1.5));
-        self.put(work, Due::Finish { upstream, call });
+    fn start_work(&mut self, upstream: usize, call: u64) {
+        let slowdown = if upstream == 0 { self.scenario.slowdown } else { 1 };
+        let work = (WORK * slowdown).mul_f64(self.random.random_range(0.5..1.5));
+        self.schedule(work, Event::Completion { upstream, call });
     }
 
-    fn finish(&mut self, upstream: usize, number: u64) {
-        if let Some(Ticket(next)) =
-            self.gates[upstream].finish(Ticket(number), self.now, Some(WORK))
+    fn complete(&mut self, upstream: usize, id: u64) {
+        if let Some(Ticket(next)) = self.limiters[upstream].finish(Ticket(id), self.now, Some(WORK))
         {
-            self.work(upstream, next);
+            self.start_work(upstream, next);
         }
-        let Some(call) = self.calls.get(&number).copied() else { return };
-        let elapsed = self.now.since(call.begun);
-        if self.trial.broken {
+        let Some(call) = self.calls.get(&id).copied() else { return };
+        let elapsed = self.now.since(call.started);
+        if self.scenario.failing {
             self.records[upstream].end(self.now, Sample::Failed);
-            if self.again(Outcome::Unknown(Doubt::Broken), call.made) {
-                return self.offer(number);
+            if self.may_retry(Outcome::Unknown(Doubt::Broken), call.attempts) {
+                return self.dispatch(id);
             }
-            return self.drop_call(number);
+            return self.abandon(id);
         }
-        self.calls.remove(&number);
+        self.calls.remove(&id);
         self.records[upstream].end(self.now, Sample::Answered(elapsed));
         if elapsed <= DEADLINE {
-            self.result.answered += 1;
-            self.result.times.add(elapsed);
+            self.totals.answered += 1;
+            self.totals.times.add(elapsed);
         }
     }
 
-    fn again(&mut self, outcome: Outcome, made: u32) -> bool {
-        let attempt = Attempt { outcome, kind: Kind::Idempotent, made, limit: 3 };
-        if self.way.budget_percent.is_none() {
+    fn may_retry(&mut self, outcome: Outcome, attempts: u32) -> bool {
+        let attempt = Attempt { outcome, kind: Kind::Idempotent, made: attempts, limit: 3 };
+        if self.policies.budget_percent.is_none() {
             self.budget = Budget::default();
         }
         decide(attempt, &mut self.budget) == Step::Retry
     }
 
-    fn choose(&mut self, number: u64) -> Option<usize> {
-        let tried = self.calls[&number].tried;
-        if self.way.round_robin {
-            self.turn += 1;
-            let order = (0..UPSTREAMS).map(|i| (self.turn + i) % UPSTREAMS);
+    fn choose(&mut self, id: u64) -> Option<usize> {
+        let tried = self.calls[&id].tried;
+        if self.policies.round_robin {
+            self.next_upstream += 1;
+            let order = (0..UPSTREAMS).map(|i| (self.next_upstream + i) % UPSTREAMS);
             return order.into_iter().find(|&i| !tried[i]);
         }
         let candidates: Vec<Candidate<'_>> = self
@@ -255,12 +264,12 @@
         )
     }
 
-    fn drop_call(&mut self, number: u64) {
-        self.calls.remove(&number);
+    fn abandon(&mut self, id: u64) {
+        self.calls.remove(&id);
     }
 
-    fn put(&mut self, after: Duration, due: Due) {
-        self.number += 1;
-        self.agenda.push(Reverse((self.now + after, self.number, due)));
+    fn schedule(&mut self, after: Duration, event: Event) {
+        self.last_id += 1;
+        self.events.push(Reverse((self.now + after, self.last_id, event)));
     }
 }
--- a/xtask/src/bench/report.rs
+++ b/xtask/src/bench/report.rs
@@ -1,4 +1,4 @@
-//! Collects measures, prints them as they come and writes them as JSON lines.
+//! Collects measurements, prints each one and writes all as JSON lines.
 
 use hdrhistogram::Histogram;
 use serde_json::{Map, Value};
@@ -6,22 +6,22 @@
 
 use crate::tools::Failure;
 
-/// Largest value that a histogram of microseconds takes: ten minutes.
-const HIGHEST_US: u64 = 600_000_000;
+/// Largest time that [`Times`] records, in microseconds.
+const MAX_US: u64 = 600_000_000;
 
-/// All measures so far.
+/// All measurements so far.
 #[derive(Default)]
 pub(crate) struct Report {
     lines: Vec<Value>,
 }
 
-/// One measure being put together.
+/// Builder of one measurement, a JSON object.
 pub(crate) struct Line {
     fields: Map<String, Value>,
 }
 
 impl Report {
-    /// Adds a measure and prints it.
+    /// Adds a measurement and prints it.
     pub(crate) fn add(&mut self, line: Line) {
         let text: Vec<String> = line
             .fields
@@ -34,7 +34,7 @@
         self.lines.push(Value::Object(line.fields));
     }
 
-    /// Writes all measures as JSON lines.
+    /// Writes all measurements to `path` as JSON lines.
     pub(crate) fn write(&self, path: &Path) -> Result<(), Failure> {
         let text: String = self.lines.iter().map(|line| format!("{line}\n")).collect();
         Ok(fs::write(path, text)?)
@@ -42,7 +42,7 @@
 }
 
 impl Line {
-    /// Starts a measure taken with `nodes` nodes.
+    /// Starts a measurement of `measure` with `nodes` nodes.
     pub(crate) fn new(measure: &str, nodes: usize) -> Self {
         let mut fields = Map::new();
         fields.insert("measure".to_owned(), measure.into());
@@ -50,26 +50,26 @@
         Line { fields }
     }
 
-    /// Adds a figure, rounded to three decimals.
+    /// Adds a number, rounded to three decimals.
     pub(crate) fn figure(mut self, name: &str, value: f64) -> Self {
         let rounded = (value * 1_000.0).round() / 1_000.0;
         self.fields.insert(name.to_owned(), rounded.into());
         self
     }
 
-    /// Adds a count.
+    /// Adds an integer.
     pub(crate) fn count(mut self, name: &str, value: u64) -> Self {
         self.fields.insert(name.to_owned(), value.into());
         self
     }
 
-    /// Adds a word.
+    /// Adds a text.
     pub(crate) fn word(mut self, name: &str, value: &str) -> Self {
         self.fields.insert(name.to_owned(), value.into());
         self
     }
 
-    /// Adds median, 99th percentile and number of `times`.
+    /// Adds the median, the 99th percentile and the number of `times`.
     pub(crate) fn times(self, times: &Times) -> Self {
         self.figure("p50", times.ms(50.0))
             .figure("p99", times.ms(99.0))
@@ -77,20 +77,20 @@
     }
 }
 
-/// Measured times.
+/// Histogram of times, in microseconds.
 pub(crate) struct Times {
     histogram: Histogram<u64>,
 }
 
 impl Default for Times {
     fn default() -> Self {
-        let histogram = Histogram::new_with_bounds(1, HIGHEST_US, 3);
+        let histogram = Histogram::new_with_bounds(1, MAX_US, 3);
         Times { histogram: histogram.expect("the bounds are constants") }
     }
 }
 
 impl Times {
-    /// Adds a time.
+    /// Records a time; longer ones count as [`MAX_US`].
     pub(crate) fn add(&mut self, time: std::time::Duration) {
         self.histogram.saturating_record(time.as_micros() as u64);
     }
@@ -100,7 +100,7 @@
         self.histogram.value_at_percentile(percentile) as f64 / 1_000.0
     }
 
-    /// Returns the number of times.
+    /// Returns the number of recorded times.
     pub(crate) fn count(&self) -> u64 {
         self.histogram.len()
     }
--- a/xtask/src/ci.rs
+++ b/xtask/src/ci.rs
@@ -1,4 +1,4 @@
-//! The checks that every change must pass.
+//! Checks that every change must pass.
 
 use std::fs;
 
@@ -7,22 +7,22 @@
     tools::{self, Failure},
 };
 
-/// File that lists tests known to fail, one line each: test, cause, issue.
+/// File that lists the tests known to fail, one per line: test, cause, issue.
 const KNOWN_RED: &str = "KNOWN-RED.txt";
 
-/// Most lines of that file.
-const KNOWN_RED_LIMIT: usize = 3;
+/// Limit of the lines in that file.
+const MAX_KNOWN_RED: usize = 3;
 
-/// Runs format check, linter, documentation, tests and a short soak.
+/// Runs the format check, the linter, the documentation build, the tests and a short soak.
 pub(crate) fn run() -> Result<(), Failure> {
     tools::cargo(&["fmt", "--all", "--check"])?;
     tools::cargo(&["clippy", "--workspace", "--all-targets", "--", "--deny", "warnings"])?;
-    document()?;
-    let red = known_red()?;
+    build_docs()?;
+    let skipped = known_red()?;
     let mut arguments = vec!["test".to_owned(), "--workspace".to_owned()];
-    if !red.is_empty() {
+    if !skipped.is_empty() {
         arguments.push("--".to_owned());
-        for test in &red {
+        for test in &skipped {
             arguments.extend(["--skip".to_owned(), test.clone()]);
         }
     }
@@ -32,22 +32,22 @@
 }
 
 /// Builds the documentation with warnings denied.
-fn document() -> Result<(), Failure> {
+fn build_docs() -> Result<(), Failure> {
     let config = "build.rustdocflags=[\"--deny\", \"warnings\"]";
     tools::cargo(&["doc", "--workspace", "--no-deps", "--quiet", "--config", config])
 }
 
-/// Reads and prints the tests known to fail.
+/// Reads and prints the names of the tests known to fail.
 fn known_red() -> Result<Vec<String>, Failure> {
     let Ok(text) = fs::read_to_string(tools::root().join(KNOWN_RED)) else {
         return Ok(Vec::new());
     };
     let lines: Vec<&str> = text.lines().filter(|line| !line.trim().is_empty()).collect();
-    if lines.len() > KNOWN_RED_LIMIT {
-        return Err(Failure::Task(format!("{KNOWN_RED} holds more than {KNOWN_RED_LIMIT} lines")));
+    if lines.len() > MAX_KNOWN_RED {
+        return Err(Failure::Task(format!("{KNOWN_RED} has more than {MAX_KNOWN_RED} lines")));
     }
     for line in &lines {
-        println!("known red, passed over: {line}");
+        println!("skipping a test known to fail: {line}");
     }
     let test = |line: &&str| line.split([':', ',']).next().unwrap_or("").trim().to_owned();
     Ok(lines.iter().map(test).collect())
--- a/xtask/src/demo.rs
+++ b/xtask/src/demo.rs
@@ -1,4 +1,4 @@
-//! The main job, shown to a newcomer with real processes on loopback.
+//! Shows and checks the main functions with real processes on loopback.
 
 use standins::{
     caller::{Call, Caller},
@@ -22,65 +22,65 @@
 const DATA_CENTRES: [&str; 2] = ["ktm-a", "lalitpur-b"];
 const SERVICES: [&str; 2] = ["shelfview", "paydesk"];
 const UPSTREAMS: usize = 2;
-const READING: &str = r#"{"deadline_ms": 2000, "convergence_weight": 80}"#;
-const READING_REVISED: &str = r#"{"deadline_ms": 1500, "convergence_weight": 80}"#;
-const POSTING: &str = r#"{"deadline_ms": 3000, "attempts": 2}"#;
-const BAD: &str = r#"{"deadline_ms": "soon", "attemps": 2}"#;
-const BOUND: Duration = Duration::from_secs(6);
+const READ_PROFILE: &str = r#"{"deadline_ms": 2000, "convergence_weight": 80}"#;
+const READ_PROFILE_UPDATED: &str = r#"{"deadline_ms": 1500, "convergence_weight": 80}"#;
+const WRITE_PROFILE: &str = r#"{"deadline_ms": 3000, "attempts": 2}"#;
+const INVALID_PROFILE: &str = r#"{"deadline_ms": "soon", "attemps": 2}"#;
+const CONVERGENCE_LIMIT: Duration = Duration::from_secs(6);
 
-/// The steps shown so far.
+/// Steps checked so far, and the texts of those that failed.
 #[derive(Default)]
-struct Show {
+struct Checklist {
     steps: usize,
     failed: Vec<String>,
 }
 
-impl Show {
-    /// Prints a step with its figure and notes whether it held.
-    fn step(&mut self, held: Held, text: &str) {
+impl Checklist {
+    /// Prints the result of a step and records a failure.
+    fn check(&mut self, verdict: Verdict, text: &str) {
         self.steps += 1;
-        let mark = if held == Held::Yes { "ok  " } else { "FAIL" };
+        let mark = if verdict == Verdict::Pass { "ok  " } else { "FAIL" };
         println!("{mark} {:>2}  {text}", self.steps);
-        if held == Held::No {
+        if verdict == Verdict::Fail {
             self.failed.push(text.to_owned());
         }
     }
 }
 
-/// Whether a step held.
+/// Result of a step.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Held {
-    Yes,
-    No,
+enum Verdict {
+    Pass,
+    Fail,
 }
 
-impl From<bool> for Held {
-    fn from(held: bool) -> Self {
-        if held { Held::Yes } else { Held::No }
+impl From<bool> for Verdict {
+    fn from(passed: bool) -> Self {
+        if passed { Verdict::Pass } else { Verdict::Fail }
     }
 }
 
-/// What callers were told.
+/// Outcomes of calls as their callers received them.
 #[derive(Clone, Debug, Default)]
-struct Told {
-    outcomes: HashMap<String, usize>,
-    works: HashMap<String, String>,
+struct Outcomes {
+    counts: HashMap<String, usize>,
+    by_work: HashMap<String, String>,
 }
 
-impl Told {
+impl Outcomes {
     fn count(&self, outcome: &str) -> usize {
-        self.outcomes.get(outcome).copied().unwrap_or(0)
+        self.counts.get(outcome).copied().unwrap_or(0)
     }
 
     fn total(&self) -> usize {
-        self.outcomes.values().sum()
+        self.counts.values().sum()
     }
 }
 
-/// Runs the demo; succeeds only if every step held.
+/// Runs the demo; fails unless every step passed.
 pub(crate) fn run() -> Result<(), Failure> {
     let programs = tools::build()?;
-    let begun = Instant::now();
+    let started = Instant::now();
     let settings = Settings {
         daemon: programs.join("baobabrelayd"),
         instances: places(&SERVICES, &DATA_CENTRES, UPSTREAMS),
@@ -88,97 +88,106 @@
         ..Settings::default()
     };
     let mut mesh = Mesh::start(&settings)?;
-    let mut show = Show::default();
-    publish(&mesh, &mut show);
-    calls(&mesh, &mut show);
-    revise(&mesh, &mut show);
-    reject(&mesh, &programs, &mut show);
-    stop(&mut mesh, &mut show)?;
-    kill(&mut mesh, &mut show)?;
-    freeze(&mesh, &programs, &mut show)?;
-    cut(&mesh, &mut show);
-    ask(&mesh, &programs, &mut show)?;
-    route(&mesh, &mut show);
-    let seconds = begun.elapsed().as_secs_f64();
-    println!("{} of {} steps held, {seconds:.1} s", show.steps - show.failed.len(), show.steps);
-    if show.failed.is_empty() {
+    let mut checklist = Checklist::default();
+    publish_first(&mesh, &mut checklist);
+    make_calls(&mesh, &mut checklist);
+    update_under_load(&mesh, &mut checklist);
+    publish_invalid(&mesh, &programs, &mut checklist);
+    stop_node(&mut mesh, &mut checklist)?;
+    kill_node(&mut mesh, &mut checklist)?;
+    silence_upstream(&mesh, &programs, &mut checklist)?;
+    block_platform(&mesh, &mut checklist);
+    query_operators(&mesh, &programs, &mut checklist)?;
+    split_route(&mesh, &mut checklist);
+    let seconds = started.elapsed().as_secs_f64();
+    println!(
+        "{} of {} steps passed, {seconds:.1} s",
+        checklist.steps - checklist.failed.len(),
+        checklist.steps
+    );
+    if checklist.failed.is_empty() {
         return Ok(());
     }
-    Err(Failure::Task(format!("did not hold: {}", show.failed.join("; "))))
+    Err(Failure::Task(format!("failed steps: {}", checklist.failed.join("; "))))
 }
 
-fn publish(mesh: &Mesh, show: &mut Show) {
+fn publish_first(mesh: &Mesh, checklist: &mut Checklist) {
     let count = mesh.spots.len();
     let joined = mesh.wait_upstreams("paydesk", 2 * UPSTREAMS, Duration::from_secs(10));
-    show.step(
+    checklist.check(
         joined.is_some().into(),
-        &format!("{count} nodes in {} data centres know each other", DATA_CENTRES.len()),
+        &format!("{count} nodes in {} data centres have joined", DATA_CENTRES.len()),
     );
     let revision = mesh.platform.publish(&[
-        ("profiles/reading", Some(READING)),
-        ("profiles/posting", Some(POSTING)),
+        ("profiles/reading", Some(READ_PROFILE)),
+        ("profiles/posting", Some(WRITE_PROFILE)),
         ("services/shelfview", Some(r#"{"profile": "reading"}"#)),
         ("services/paydesk", Some(r#"{"profile": "posting"}"#)),
     ]);
-    let spread = mesh.wait_in_force(revision, BOUND);
-    show.step(
-        spread.is_some().into(),
-        &format!("first profiles in force at every node after {}", ms(spread)),
+    let converged = mesh.wait_in_force(revision, CONVERGENCE_LIMIT);
+    checklist.check(
+        converged.is_some().into(),
+        &format!("first profiles in force at every node after {}", format_ms(converged)),
     );
 }
 
-fn calls(mesh: &Mesh, show: &mut Show) {
+fn make_calls(mesh: &Mesh, checklist: &mut Checklist) {
     let reads = load(mesh, 0, 200, |_| Call::get("/shelfview/stock/7"));
-    show.step((reads.count("answered") == 200).into(), &format!("200 reads: {:?}", reads.outcomes));
+    checklist
+        .check((reads.count("answered") == 200).into(), &format!("200 reads: {:?}", reads.counts));
     let posts = load(mesh, 1, 200, |i| Call::post("/paydesk/payments", &format!("demo-{i}")));
-    show.step(
-        (posts.count("answered") == 200 && at_most_once(mesh)).into(),
-        &format!("200 payments: {:?}, none ran twice", posts.outcomes),
+    checklist.check(
+        (posts.count("answered") == 200 && all_ran_at_most_once(mesh)).into(),
+        &format!("200 payments: {:?}, none ran twice", posts.counts),
     );
 }
 
-fn revise(mesh: &Mesh, show: &mut Show) {
+fn update_under_load(mesh: &Mesh, checklist: &mut Checklist) {
     let stop = Arc::new(AtomicBool::new(false));
-    let (told, spread) = thread::scope(|scope| {
+    let (outcomes, converged) = thread::scope(|scope| {
         let running = stop.clone();
         let worker =
             scope.spawn(move || load_until(mesh, 2, &running, |_| Call::get("/shelfview/stock/8")));
         thread::sleep(Duration::from_millis(100));
-        let revision = mesh.platform.publish(&[("profiles/reading", Some(READING_REVISED))]);
-        let spread = mesh.wait_in_force(revision, BOUND);
+        let revision = mesh.platform.publish(&[("profiles/reading", Some(READ_PROFILE_UPDATED))]);
+        let converged = mesh.wait_in_force(revision, CONVERGENCE_LIMIT);
         stop.store(true, Ordering::SeqCst);
-        (worker.join().unwrap_or_default(), spread)
+        (worker.join().unwrap_or_default(), converged)
     });
-    let whole = told.count("answered") == told.total() && told.total() > 0;
-    show.step(
-        (spread.is_some() && whole).into(),
+    let all_answered = outcomes.count("answered") == outcomes.total() && outcomes.total() > 0;
+    checklist.check(
+        (converged.is_some() && all_answered).into(),
         &format!(
-            "revised under load, in force after {}; {} reads, all answered",
-            ms(spread),
-            told.total()
+            "profile updated under load, in force after {}; {} reads, all answered",
+            format_ms(converged),
+            outcomes.total()
         ),
     );
 }
 
-fn reject(mesh: &Mesh, programs: &Path, show: &mut Show) {
+fn publish_invalid(mesh: &Mesh, programs: &Path, checklist: &mut Checklist) {
     let before = mesh.revision(0);
-    let bad = mesh.platform.publish(&[("profiles/reading", Some(BAD))]);
-    let seen =
-        mesh.wait(BOUND, |mesh| status(programs, mesh).contains("/attemps: is not a known field"));
-    let kept = (0..mesh.spots.len()).all(|i| mesh.revision(i) == before);
-    show.step(
-        (seen.is_some() && kept).into(),
+    let bad = mesh.platform.publish(&[("profiles/reading", Some(INVALID_PROFILE))]);
+    let seen = mesh.wait(CONVERGENCE_LIMIT, |mesh| {
+        status(programs, mesh).contains("/attemps: is not a known field")
+    });
+    let unchanged = (0..mesh.spots.len()).all(|i| mesh.revision(i) == before);
+    checklist.check(
+        (seen.is_some() && unchanged).into(),
         &format!(
-            "bad revision {bad} rejected whole, revision {} stays in force",
+            "invalid revision {bad} rejected, revision {} stays in force",
             before.unwrap_or(0)
         ),
     );
-    let good = mesh.platform.publish(&[("profiles/reading", Some(READING))]);
-    let spread = mesh.wait_in_force(good, BOUND);
-    show.step(spread.is_some().into(), &format!("mended revision in force after {}", ms(spread)));
+    let good = mesh.platform.publish(&[("profiles/reading", Some(READ_PROFILE))]);
+    let converged = mesh.wait_in_force(good, CONVERGENCE_LIMIT);
+    checklist.check(
+        converged.is_some().into(),
+        &format!("corrected revision in force after {}", format_ms(converged)),
+    );
 }
 
-fn stop(mesh: &mut Mesh, show: &mut Show) -> Result<(), Failure> {
+fn stop_node(mesh: &mut Mesh, checklist: &mut Checklist) -> Result<(), Failure> {
     let leaving = 0;
     let entry = mesh.spots[3].traffic;
     let running = Arc::new(AtomicBool::new(true));
@@ -187,215 +196,232 @@
     let worker = thread::spawn(move || {
         handle.block_on(async {
             let mut caller = Caller::new(entry);
-            let mut told = Told::default();
+            let mut outcomes = Outcomes::default();
             while flag.load(Ordering::SeqCst) {
-                call(&mut caller, &Call::get("/shelfview/stock/9"), &mut told).await;
+                call(&mut caller, &Call::get("/shelfview/stock/9"), &mut outcomes).await;
             }
-            told
+            outcomes
         })
     });
     thread::sleep(Duration::from_millis(200));
     let code = mesh.stop_node(leaving)?;
     running.store(false, Ordering::SeqCst);
-    let told = worker.join().unwrap_or_default();
-    let whole = told.count("answered") == told.total();
-    show.step(
-        (code == Some(0) && whole).into(),
-        &format!("planned stop under load: exit {code:?}, {} reads, all answered", told.total()),
+    let outcomes = worker.join().unwrap_or_default();
+    let all_answered = outcomes.count("answered") == outcomes.total();
+    checklist.check(
+        (code == Some(0) && all_answered).into(),
+        &format!(
+            "planned stop under load: exit {code:?}, {} reads, all answered",
+            outcomes.total()
+        ),
     );
     Ok(())
 }
 
-fn kill(mesh: &mut Mesh, show: &mut Show) -> Result<(), Failure> {
+fn kill_node(mesh: &mut Mesh, checklist: &mut Checklist) -> Result<(), Failure> {
     let killed = 2;
     mesh.kill_node(killed)?;
     let entry = mesh.spots[1].traffic;
-    let begun = Instant::now();
-    let told = mesh.runtime().block_on(async {
+    let started = Instant::now();
+    let outcomes = mesh.runtime().block_on(async {
         let mut caller = Caller::new(entry);
-        let mut told = Told::default();
+        let mut outcomes = Outcomes::default();
         for i in 0..300 {
             let work = format!("kill-{i}");
-            call(&mut caller, &Call::post("/paydesk/payments", &work), &mut told).await;
+            call(&mut caller, &Call::post("/paydesk/payments", &work), &mut outcomes).await;
         }
-        told
+        outcomes
     });
-    let honest = told.works.iter().all(|(work, outcome)| {
-        let runs = runs(mesh, work);
+    let consistent = outcomes.by_work.iter().all(|(work, outcome)| {
+        let runs = runs_of_work(mesh, work);
         match outcome.as_str() {
             "answered" => runs == 1,
             "not-run" => runs == 0,
             _ => runs <= 1,
         }
     });
-    show.step(
-        (honest && told.count("answered") > 0).into(),
+    checklist.check(
+        (consistent && outcomes.count("answered") > 0).into(),
         &format!(
-            "a node killed: 300 payments in {} ms, {:?}, each outcome true by the ledgers",
-            begun.elapsed().as_millis(),
-            told.outcomes
+            "a node killed: 300 payments in {} ms, {:?}, each outcome consistent with the upstreams' ledgers",
+            started.elapsed().as_millis(),
+            outcomes.counts
         ),
     );
     Ok(())
 }
 
-/// Silences one upstream and shows how the time line tells what happened.
-fn freeze(mesh: &Mesh, programs: &Path, show: &mut Show) -> Result<(), Failure> {
+/// Stops the answers of one upstream and checks that the timeline reports the retries.
+fn silence_upstream(
+    mesh: &Mesh,
+    programs: &Path,
+    checklist: &mut Checklist,
+) -> Result<(), Failure> {
     let silent = &mesh.spots[4];
     let address = silent.peers.to_string();
     silent.upstream.set_mode(upstream::Mode::Silent);
     let reads = load_in_parallel(mesh, 5, 8, 5);
     silent.upstream.set_mode(upstream::Mode::Normal);
-    show.step(
+    checklist.check(
         (reads.count("answered") == 40).into(),
-        &format!("{} goes silent: 40 reads: {:?}", silent.instance, reads.outcomes),
+        &format!("{} goes silent: 40 reads: {:?}", silent.instance, reads.counts),
     );
-    let told = |line: &str| line.contains(" retried ") && line.contains(&address);
-    let seen =
-        mesh.wait(BOUND, |mesh| events(programs, mesh).is_ok_and(|text| text.lines().any(told)));
+    let is_retry = |line: &str| line.contains(" retried ") && line.contains(&address);
+    let seen = mesh.wait(CONVERGENCE_LIMIT, |mesh| {
+        events(programs, mesh).is_ok_and(|text| text.lines().any(is_retry))
+    });
     let text = events(programs, mesh)?;
     let about_calls = |line: &&str| [" retried ", " ejected "].iter().any(|e| line.contains(e));
     let lines = text.lines().filter(|line| line.contains(&address)).filter(about_calls);
     lines.for_each(|line| println!("          {line}"));
-    show.step(seen.is_some().into(), "the time line tells which upstream kept the reads waiting");
+    checklist.check(
+        seen.is_some().into(),
+        "the timeline names the silent upstream that the reads were retried after",
+    );
     Ok(())
 }
 
 fn events(programs: &Path, mesh: &Mesh) -> Result<String, Failure> {
-    let output = ctl(programs, &["timeline", "--node", &mesh.spots[1].operators.to_string()])?;
+    let output = run_ctl(programs, &["timeline", "--node", &mesh.spots[1].operators.to_string()])?;
     Ok(String::from_utf8_lossy(&output.stdout).into_owned())
 }
 
-fn cut(mesh: &Mesh, show: &mut Show) {
+fn block_platform(mesh: &Mesh, checklist: &mut Checklist) {
     mesh.platform.set_mode(platform::Mode::Down);
     thread::sleep(Duration::from_secs(1));
     let reads = load(mesh, 1, 200, |_| Call::get("/shelfview/stock/7"));
-    show.step(
+    checklist.check(
         (reads.count("answered") == 200).into(),
-        &format!("platform cut off: 200 reads: {:?}", reads.outcomes),
+        &format!("platform unavailable: 200 reads: {:?}", reads.counts),
     );
     mesh.platform.set_mode(platform::Mode::Normal);
-    let revision = mesh.platform.publish(&[("profiles/reading", Some(READING_REVISED))]);
+    let revision = mesh.platform.publish(&[("profiles/reading", Some(READ_PROFILE_UPDATED))]);
     let limit = Duration::from_secs(20);
-    let spread = mesh.wait_in_force(revision, limit);
-    show.step(
-        spread.is_some().into(),
+    let converged = mesh.wait_in_force(revision, limit);
+    checklist.check(
+        converged.is_some().into(),
         &format!(
-            "platform back, new revision in force after {} (readers back off while it is down)",
-            ms(spread)
+            "platform available again, new revision in force after {} (nodes back off during the outage)",
+            format_ms(converged)
         ),
     );
 }
 
-fn ask(mesh: &Mesh, programs: &Path, show: &mut Show) -> Result<(), Failure> {
+fn query_operators(mesh: &Mesh, programs: &Path, checklist: &mut Checklist) -> Result<(), Failure> {
     let node = mesh.spots[1].operators.to_string();
-    let explained = ctl(programs, &["explain", "shelfview", "--node", &node])?;
-    show.step(explained.status.success().into(), "baobabctl explain names an eligible upstream");
+    let explained = run_ctl(programs, &["explain", "shelfview", "--node", &node])?;
+    checklist
+        .check(explained.status.success().into(), "baobabctl explain names an eligible upstream");
     let text = events(programs, mesh)?;
     let expected = ["started", "in-force", "rejected", "leaving"];
-    show.step(
+    checklist.check(
         expected.iter().all(|event| text.contains(event)).into(),
-        &format!("baobabctl timeline: {} events of all nodes in one order", text.lines().count()),
+        &format!("baobabctl timeline: {} merged events of all nodes", text.lines().count()),
     );
     Ok(())
 }
 
-/// Sends calls by host and path, three in four to one service and one in four to another.
-fn route(mesh: &Mesh, show: &mut Show) {
+/// Checks a route that splits calls 75 to 25 between two services.
+fn split_route(mesh: &Mesh, checklist: &mut Checklist) {
     let split = r#"{"host": "127.0.0.1", "prefix": "/shop/", "kind": "idempotent",
         "targets": [{"service": "shelfview", "weight": 75}, {"service": "paydesk", "weight": 25}]}"#;
     let revision = mesh.platform.publish(&[("routes/shop", Some(split))]);
-    let spread = mesh.wait_in_force(revision, BOUND);
-    let before = runs_of(mesh, "paydesk");
+    let converged = mesh.wait_in_force(revision, CONVERGENCE_LIMIT);
+    let before = runs_of_service(mesh, "paydesk");
     let routed = load(mesh, 1, 200, |_| Call::get("/shop/stock/7"));
-    let share = (runs_of(mesh, "paydesk") - before) as f64 / 200.0;
-    show.step(
+    let share = (runs_of_service(mesh, "paydesk") - before) as f64 / 200.0;
+    checklist.check(
         (routed.count("answered") == 200 && (0.15..0.35).contains(&share)).into(),
         &format!(
-            "a route by host and path in force after {}: 200 reads, {:.0}% of them to paydesk (25 asked)",
-            ms(spread),
+            "a route by host and path in force after {}: 200 reads, {:.0}% of them to paydesk (25% configured)",
+            format_ms(converged),
             share * 100.0
         ),
     );
     let unrouted = load(mesh, 1, 20, |_| Call::get("/shelfview/stock/7"));
-    show.step(
+    checklist.check(
         (unrouted.count("not-run") == 20).into(),
-        "with routes in force, a path that none of them names leads nowhere",
+        "with routes in force, a path that matches none of them is not run",
     );
 }
 
 /// Returns how many requests the upstreams of `service` have run.
-fn runs_of(mesh: &Mesh, service: &str) -> u64 {
+fn runs_of_service(mesh: &Mesh, service: &str) -> u64 {
     let of_service = mesh.spots.iter().filter(|spot| spot.place.service == service);
     of_service.map(|spot| spot.upstream.ledger().runs).sum()
 }
 
-/// Makes `count` calls through one node.
-fn load(mesh: &Mesh, node: usize, count: usize, make: impl Fn(usize) -> Call) -> Told {
+/// Makes `count` sequential calls through one node.
+fn load(mesh: &Mesh, node: usize, count: usize, make: impl Fn(usize) -> Call) -> Outcomes {
     let entry = mesh.spots[node].traffic;
     mesh.runtime().block_on(async {
         let mut caller = Caller::new(entry);
-        let mut told = Told::default();
+        let mut outcomes = Outcomes::default();
         for i in 0..count {
-            call(&mut caller, &make(i), &mut told).await;
+            call(&mut caller, &make(i), &mut outcomes).await;
         }
-        told
+        outcomes
     })
 }
 
-/// Has several callers make reads through one node at the same time.
-fn load_in_parallel(mesh: &Mesh, node: usize, callers: usize, reads: usize) -> Told {
+/// Makes reads through one node with several parallel callers.
+fn load_in_parallel(mesh: &Mesh, node: usize, callers: usize, reads: usize) -> Outcomes {
     let entry = mesh.spots[node].traffic;
     let tasks: Vec<_> = (0..callers)
         .map(|_| {
             mesh.runtime().spawn(async move {
                 let mut caller = Caller::new(entry);
-                let mut told = Told::default();
+                let mut outcomes = Outcomes::default();
                 for _ in 0..reads {
-                    call(&mut caller, &Call::get("/shelfview/stock/7"), &mut told).await;
+                    call(&mut caller, &Call::get("/shelfview/stock/7"), &mut outcomes).await;
                 }
-                told
+                outcomes
             })
         })
         .collect();
-    let mut all = Told::default();
+    let mut all = Outcomes::default();
     for task in tasks {
-        let told = mesh.runtime().block_on(task).unwrap_or_default();
-        for (outcome, count) in told.outcomes {
-            *all.outcomes.entry(outcome).or_default() += count;
+        let outcomes = mesh.runtime().block_on(task).unwrap_or_default();
+        for (outcome, count) in outcomes.counts {
+            *all.counts.entry(outcome).or_default() += count;
         }
     }
     all
 }
 
-fn load_until(mesh: &Mesh, node: usize, stop: &AtomicBool, make: impl Fn(usize) -> Call) -> Told {
+fn load_until(
+    mesh: &Mesh,
+    node: usize,
+    stop: &AtomicBool,
+    make: impl Fn(usize) -> Call,
+) -> Outcomes {
     let entry = mesh.spots[node].traffic;
     mesh.runtime().block_on(async {
         let mut caller = Caller::new(entry);
-        let mut told = Told::default();
+        let mut outcomes = Outcomes::default();
         while !stop.load(Ordering::SeqCst) {
-            call(&mut caller, &make(0), &mut told).await;
+            call(&mut caller, &make(0), &mut outcomes).await;
         }
-        told
+        outcomes
     })
 }
 
-async fn call(caller: &mut Caller, call: &Call, told: &mut Told) {
+async fn call(caller: &mut Caller, call: &Call, outcomes: &mut Outcomes) {
     let outcome = match caller.call(call).await {
         Ok(answer) => answer.outcome().to_owned(),
         Err(_) => "no answer".to_owned(),
     };
-    *told.outcomes.entry(outcome.clone()).or_default() += 1;
+    *outcomes.counts.entry(outcome.clone()).or_default() += 1;
     if let Some(work) = &call.work {
-        told.works.insert(work.clone(), outcome);
+        outcomes.by_work.insert(work.clone(), outcome);
     }
 }
 
-fn runs(mesh: &Mesh, work: &str) -> u32 {
+fn runs_of_work(mesh: &Mesh, work: &str) -> u32 {
     mesh.spots.iter().filter_map(|s| s.upstream.ledger().begun.get(work).copied()).sum()
 }
 
-fn at_most_once(mesh: &Mesh) -> bool {
+fn all_ran_at_most_once(mesh: &Mesh) -> bool {
     let mut all: HashMap<String, u32> = HashMap::new();
     for spot in &mesh.spots {
         for (work, count) in spot.upstream.ledger().begun {
@@ -407,14 +433,14 @@
 
 fn status(programs: &Path, mesh: &Mesh) -> String {
     let node = mesh.spots[1].operators.to_string();
-    let output = ctl(programs, &["status", "--node", &node]);
+    let output = run_ctl(programs, &["status", "--node", &node]);
     output.map(|o| String::from_utf8_lossy(&o.stdout).into_owned()).unwrap_or_default()
 }
 
-fn ctl(programs: &Path, arguments: &[&str]) -> Result<Output, Failure> {
+fn run_ctl(programs: &Path, arguments: &[&str]) -> Result<Output, Failure> {
     Ok(Command::new(programs.join("baobabctl")).args(arguments).output()?)
 }
 
-fn ms(span: Option<Duration>) -> String {
-    span.map_or("no end in sight".to_owned(), |span| format!("{} ms", span.as_millis()))
+fn format_ms(span: Option<Duration>) -> String {
+    span.map_or("no result within the limit".to_owned(), |span| format!("{} ms", span.as_millis()))
 }
--- a/xtask/src/experiment.rs
+++ b/xtask/src/experiment.rs
@@ -1,10 +1,7 @@
-//! Compares ways of deciding on the model of the served systems: `cargo xtask experiment`.
+//! Compares call policies in a discrete-event simulation: `cargo xtask experiment`.
 //!
-//! `--without NAME` compares the product with itself less one mechanism; `--list` names them.
-//!
-//! A decision is tried here before it is measured on real processes: seconds in the place of
-//! minutes, and as many seeds as a difference needs. What the model leaves out is told in
-//! [`standins::served`]; a difference that shows only there must be looked for elsewhere.
+//! `--without NAME` switches off one mechanism of the node's policies; `--list` prints the names.
+//! [`standins::served`] describes what the model covers and what it leaves out.
 
 mod plot;
 mod scene;
@@ -21,21 +18,21 @@
     summary::{Estimate, Summary},
 };
 
-/// Seeds of each comparison: with ten, differences of a hundredth stand out of chance.
-const SEEDS: u64 = 10;
+/// Default number of seeds of each comparison.
+const DEFAULT_SEEDS: u64 = 10;
 
-/// How the product decides.
+/// The node's own policies.
 const PRODUCT: Way = Way { choice: Choice::Room, order: Order::Ranked, without: None };
 
-/// The ways that are compared. The first is the product's.
-const WAYS: [(&str, Way); 4] = [
+/// The strategies that are compared; the first one is the node's.
+const STRATEGIES: [(&str, Way); 4] = [
     ("product", PRODUCT),
     ("by-arrival", Way { order: Order::Arrival, ..PRODUCT }),
     ("least-in-flight", Way { choice: Choice::LeastInFlight, ..PRODUCT }),
     ("in-turn", Way { choice: Choice::InTurn, order: Order::Arrival, ..PRODUCT }),
 ];
 
-/// Plays every scene with every way.
+/// Simulates every selected scene with every strategy.
 pub(crate) fn run(mut arguments: Arguments) -> Result<(), Failure> {
     let usage = |e: pico_args::Error| Failure::Usage(e.to_string());
     if arguments.contains("--list") {
@@ -44,50 +41,50 @@
         return Ok(());
     }
     let without: Option<String> = arguments.opt_value_from_str("--without").map_err(usage)?;
-    let seeds = arguments.opt_value_from_str("--seeds").map_err(usage)?.unwrap_or(SEEDS);
+    let seeds = arguments.opt_value_from_str("--seeds").map_err(usage)?.unwrap_or(DEFAULT_SEEDS);
     let nodes: usize = arguments.opt_value_from_str("--nodes").map_err(usage)?.unwrap_or(12);
     let only: Option<String> = arguments.opt_value_from_str("--scene").map_err(usage)?;
-    let lines: Option<PathBuf> = arguments.opt_value_from_str("--json").map_err(usage)?;
-    let picture: Option<PathBuf> = arguments.opt_value_from_str("--plot").map_err(usage)?;
+    let json: Option<PathBuf> = arguments.opt_value_from_str("--json").map_err(usage)?;
+    let plot_file: Option<PathBuf> = arguments.opt_value_from_str("--plot").map_err(usage)?;
     tools::finish(arguments)?;
     if seeds == 0 || nodes < 3 {
-        return Err(Failure::Usage("at least one seed and three nodes".to_owned()));
+        return Err(Failure::Usage("--seeds must be at least 1 and --nodes at least 3".to_owned()));
     }
     let scenes = scene::all(nodes);
-    let wanted: Vec<Scene> =
+    let selected: Vec<Scene> =
         scenes.into_iter().filter(|s| only.as_ref().is_none_or(|name| name == s.name)).collect();
-    if wanted.is_empty() {
+    if selected.is_empty() {
         let names: Vec<&str> = scene::all(nodes).iter().map(|s| s.name).collect();
-        return Err(Failure::Usage(format!("no such scene; there are {}", names.join(", "))));
+        return Err(Failure::Usage(format!("unknown scene; valid scenes: {}", names.join(", "))));
     }
-    let ways = without.map_or(Ok(WAYS.to_vec()), |name| ablation(&name))?;
-    let summaries = compare(&wanted, &ways, seeds);
-    table(&summaries);
-    if let Some(path) = lines {
+    let strategies = without.map_or(Ok(STRATEGIES.to_vec()), |name| ablations(&name))?;
+    let summaries = compare(&selected, &strategies, seeds);
+    print_table(&summaries);
+    if let Some(path) = json {
         let mut file = File::create(path)?;
         for summary in &summaries {
             writeln!(file, "{}", summary.to_json(nodes, seeds))?;
         }
     }
-    picture.map_or(Ok(()), |path| plot::draw(&path, &summaries))
+    plot_file.map_or(Ok(()), |path| plot::draw(&path, &summaries))
 }
 
-/// Returns the product's way, and that without the mechanism `name` or, for `all`, without each.
-fn ablation(name: &str) -> Result<Vec<(&'static str, Way)>, Failure> {
-    let off = |mechanism| Way { without: Some(mechanism), ..PRODUCT };
-    let wanted = Mechanism::ALL.into_iter().filter(|(known, _)| name == "all" || *known == name);
-    let mut ways = vec![("product", PRODUCT)];
-    ways.extend(wanted.map(|(known, mechanism)| (known, off(mechanism))));
-    if ways.len() == 1 {
-        return Err(Failure::Usage(format!("no mechanism {name:?}; see experiment --list")));
+/// Returns the default strategy, and it without mechanism `name`, or for `all` without each one.
+fn ablations(name: &str) -> Result<Vec<(&'static str, Way)>, Failure> {
+    let without = |mechanism| Way { without: Some(mechanism), ..PRODUCT };
+    let selected = Mechanism::ALL.into_iter().filter(|(known, _)| name == "all" || *known == name);
+    let mut strategies = vec![("product", PRODUCT)];
+    strategies.extend(selected.map(|(known, mechanism)| (known, without(mechanism))));
+    if strategies.len() == 1 {
+        return Err(Failure::Usage(format!("unknown mechanism {name:?}; see experiment --list")));
     }
-    Ok(ways)
+    Ok(strategies)
 }
 
-fn compare(scenes: &[Scene], ways: &[(&'static str, Way)], seeds: u64) -> Vec<Summary> {
+fn compare(scenes: &[Scene], strategies: &[(&'static str, Way)], seeds: u64) -> Vec<Summary> {
     let mut summaries = Vec::new();
     for scene in scenes {
-        for &(name, way) in ways {
+        for &(name, way) in strategies {
             let settings = Settings { way, ..scene.settings.clone() };
             let reports: Vec<_> = (0..seeds).map(|seed| play(&settings, seed)).collect();
             summaries.push(Summary::of(scene.name, name, &reports));
@@ -96,7 +93,7 @@
     summaries
 }
 
-fn table(summaries: &[Summary]) {
+fn print_table(summaries: &[Summary]) {
     println!(
         "{:<14} {:<16} {:>15} {:>15} {:>9} {:>9} {:>9} {:>9} {:>9} {:>9}",
         "scene",
@@ -110,17 +107,18 @@
         "p99 ms",
         "repeats"
     );
-    let spread = |estimate: Estimate| format!("{:.3} +- {:.3}", estimate.mean, estimate.margin);
+    let format_estimate =
+        |estimate: Estimate| format!("{:.3} +- {:.3}", estimate.mean, estimate.margin);
     for summary in summaries {
         println!(
             "{:<14} {:<16} {:>15} {:>15} {:>9.3} {:>9.3} {:>9.3} {:>9.3} {:>9.0} {:>9.3}",
             summary.scene,
-            summary.way,
-            spread(summary.earned),
-            spread(summary.worst),
+            summary.strategy,
+            format_estimate(summary.earned),
+            format_estimate(summary.worst),
             summary.late.mean,
             summary.refused.mean,
-            summary.again.mean,
+            summary.refused_again.mean,
             summary.failed.mean,
             summary.p99_ms.mean,
             summary.repeats.mean,
--- a/xtask/src/experiment/plot.rs
+++ b/xtask/src/experiment/plot.rs
@@ -1,4 +1,4 @@
-//! A picture of what each way earned in each scene.
+//! Bar chart of the utility share of each strategy in each scene.
 
 use plotters::{
     prelude::{
@@ -12,23 +12,24 @@
 
 use super::summary::Summary;
 
+/// Width and height of the chart, in pixels.
 const SIZE: (u32, u32) = (960, 480);
 
-/// Part of a scene's width that its bars take.
-const FILLED: f64 = 0.8;
+/// Share of a scene's width that its bars fill.
+const BAR_WIDTH_SHARE: f64 = 0.8;
 
-/// Draws one group of bars for each scene, one bar for each way, as an SVG file.
+/// Writes an SVG file with one group of bars per scene and one bar per strategy.
 pub(super) fn draw(path: &Path, summaries: &[Summary]) -> Result<(), Failure> {
     let fail = |e: &dyn std::fmt::Display| Failure::Task(format!("{}: {e}", path.display()));
     let scenes = distinct(summaries.iter().map(|summary| summary.scene));
-    let ways = distinct(summaries.iter().map(|summary| summary.way));
+    let strategies = distinct(summaries.iter().map(|summary| summary.strategy));
     let area = SVGBackend::new(path, SIZE).into_drawing_area();
     area.fill(&WHITE).map_err(|e| fail(&e))?;
     let mut chart = ChartBuilder::on(&area)
         .margin(16)
         .x_label_area_size(32)
         .y_label_area_size(48)
-        .caption("share earned, by scene and way", ("sans-serif", 18))
+        .caption("utility share by scene and strategy", ("sans-serif", 18))
         .build_cartesian_2d(0.0..scenes.len() as f64, 0.0..1.0)
         .map_err(|e| fail(&e))?;
     let label = |x: &f64| scenes.get(*x as usize).map_or(String::new(), |s| (*s).to_owned());
@@ -40,18 +41,20 @@
         .x_label_offset(SIZE.0 as i32 / (2 * scenes.len() as i32))
         .draw()
         .map_err(|e| fail(&e))?;
-    for (place, way) in ways.iter().enumerate() {
-        let color = Palette99::pick(place).filled();
-        let width = FILLED / ways.len() as f64;
-        let bars = summaries.iter().filter(|summary| summary.way == *way).map(|summary| {
-            let scene = scenes.iter().position(|s| *s == summary.scene).unwrap_or_default() as f64;
-            let left = scene + (1.0 - FILLED) / 2.0 + width * place as f64;
-            Rectangle::new([(left, 0.0), (left + width, summary.earned.mean)], color)
-        });
+    for (index, strategy) in strategies.iter().enumerate() {
+        let color = Palette99::pick(index).filled();
+        let width = BAR_WIDTH_SHARE / strategies.len() as f64;
+        let bars =
+            summaries.iter().filter(|summary| summary.strategy == *strategy).map(|summary| {
+                let scene =
+                    scenes.iter().position(|s| *s == summary.scene).unwrap_or_default() as f64;
+                let left = scene + (1.0 - BAR_WIDTH_SHARE) / 2.0 + width * index as f64;
+                Rectangle::new([(left, 0.0), (left + width, summary.earned.mean)], color)
+            });
         chart
             .draw_series(bars)
             .map_err(|e| fail(&e))?
-            .label(*way)
+            .label(*strategy)
             .legend(move |(x, y)| Rectangle::new([(x, y - 5), (x + 10, y + 5)], color));
     }
     chart
@@ -63,7 +66,7 @@
     area.present().map_err(|e| fail(&e))
 }
 
-/// Returns each value once, in the order in which they first come.
+/// Returns the distinct values in the order of their first occurrence.
 fn distinct<'a>(values: impl Iterator<Item = &'a str>) -> Vec<&'a str> {
     let mut seen = Vec::new();
     for value in values {
--- a/xtask/src/experiment/scene.rs
+++ b/xtask/src/experiment/scene.rs
@@ -1,20 +1,19 @@
-//! The loads and troubles that ways are compared under.
+//! Loads and faults under which the strategies are compared.
 
 use policy::retry::Kind;
 use standins::served::{Burst, Calls, Fault, Route, Service, Settings, Trouble};
 use std::time::Duration;
 
-/// A day to compare ways on.
+/// A named scenario: the settings of one simulation.
 #[derive(Clone, Debug)]
 pub(super) struct Scene {
     pub(super) name: &'static str,
     pub(super) settings: Settings,
 }
 
-/// Returns all scenes for a fleet of about `nodes`, with as much work for each node as in the model's
-/// default.
+/// Returns all scenes for a fleet of about `nodes`, with the model's default load per node.
 pub(super) fn all(nodes: usize) -> Vec<Scene> {
-    let base = sized(nodes);
+    let base = scale_to(nodes);
     let third = base.services[0].upstreams.div_ceil(3);
     let seconds = Duration::from_secs;
     let fault = |trouble| Fault {
@@ -29,7 +28,7 @@
     vec![
         Scene { name: "calm", settings: base.clone() },
         Scene { name: "burst", settings: Settings { bursts: vec![burst], ..base.clone() } },
-        Scene { name: "overload", settings: loaded(&base, 1.6) },
+        Scene { name: "overload", settings: scale_load(&base, 1.6) },
         Scene { name: "slow", settings: with_fault(Trouble::Slow(5.0)) },
         Scene { name: "failing", settings: with_fault(Trouble::Failing(0.5)) },
         Scene { name: "silent", settings: with_fault(Trouble::Silent(0.4)) },
@@ -37,8 +36,8 @@
     ]
 }
 
-/// A service of few upstreams that takes uploads of callers and, for less urgent lookups of another
-/// service, more checks than it has room for: two of its three upstreams have left.
+/// Two of three upstreams of a service have left: the uploads of external callers compete with the nested
+/// checks of less urgent lookups for too few slots.
 fn shortage(nodes: usize) -> Settings {
     let ms = Duration::from_millis;
     let factor = nodes as f64 / 12.0;
@@ -90,16 +89,16 @@
     }
 }
 
-fn sized(nodes: usize) -> Settings {
+fn scale_to(nodes: usize) -> Settings {
     let base = Settings::default();
     let upstreams = nodes.div_ceil(base.services.len());
     let factor = upstreams as f64 / base.services[0].upstreams as f64;
     let services =
         base.services.iter().map(|s| Service { upstreams, ..s.clone() }).collect::<Vec<_>>();
-    loaded(&Settings { services, ..base }, factor)
+    scale_load(&Settings { services, ..base }, factor)
 }
 
-fn loaded(base: &Settings, factor: f64) -> Settings {
+fn scale_load(base: &Settings, factor: f64) -> Settings {
     let routes = base.routes.iter();
     let routes = routes.map(|r| Route { per_second: r.per_second * factor, ..r.clone() }).collect();
     Settings { routes, ..base.clone() }
--- a/xtask/src/experiment/summary.rs
+++ b/xtask/src/experiment/summary.rs
@@ -1,37 +1,37 @@
-//! Figures over several seeds.
+//! Means and confidence intervals over several seeds.
 
 use serde_json::{Value, json};
 use standins::served::{Report, Tally};
 
-/// The mean of a figure and the half width of its 95% confidence interval.
+/// A mean and the half width of its 95% confidence interval, which is NaN for a single sample.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Estimate {
     pub(super) mean: f64,
     pub(super) margin: f64,
 }
 
-/// What a way did in a scene.
+/// Results of a strategy in a scene.
 #[derive(Clone, Debug)]
 pub(super) struct Summary {
     pub(super) scene: &'static str,
-    pub(super) way: &'static str,
-    /// Share of what all answers in time would be worth.
+    pub(super) strategy: &'static str,
+    /// Utility as a share of the maximum, which answers in time to all callers would yield.
     pub(super) earned: Estimate,
-    /// The same of the worst route.
+    /// The lowest utility share of any route.
     pub(super) worst: Estimate,
-    /// Shares of all callers.
+    /// Share of callers whose answer was late; the next three are also shares of all callers.
     pub(super) late: Estimate,
     pub(super) refused: Estimate,
-    pub(super) again: Estimate,
+    pub(super) refused_again: Estimate,
     pub(super) failed: Estimate,
-    /// Time in which 99 in 100 answers came.
+    /// 99th percentile of the time to an answer, in ms.
     pub(super) p99_ms: Estimate,
-    /// Arrivals that were not the first, as a share of all.
+    /// Arrivals of later attempts as a share of all arrivals.
     pub(super) repeats: Estimate,
 }
 
 impl Summary {
-    pub(super) fn of(scene: &'static str, way: &'static str, reports: &[Report]) -> Self {
+    pub(super) fn of(scene: &'static str, strategy: &'static str, reports: &[Report]) -> Self {
         let totals: Vec<Tally> = reports.iter().map(Report::total).collect();
         let share = |pick: fn(&Tally) -> u64| {
             estimate(totals.iter().map(|t| pick(t) as f64 / t.asked.max(1) as f64).collect())
@@ -40,32 +40,32 @@
         let repeats = |r: &Report| r.repeats as f64 / r.arrivals.max(1) as f64;
         Summary {
             scene,
-            way,
+            strategy,
             earned: estimate(totals.iter().map(Tally::share).collect()),
             worst: estimate(reports.iter().map(Report::worst_share).collect()),
             late: share(|t| t.late),
             refused: share(|t| t.refused),
-            again: share(|t| t.refused_again),
+            refused_again: share(|t| t.refused_again),
             failed: share(|t| t.failed),
             p99_ms: estimate(totals.iter().map(p99).collect()),
             repeats: estimate(reports.iter().map(repeats).collect()),
         }
     }
 
-    /// Returns the figures as one line of JSON; a figure that there is none of is `null`.
+    /// Returns one JSON line; a number that does not exist is `null`.
     pub(super) fn to_json(&self, nodes: usize, seeds: u64) -> Value {
         let value = |f: Estimate| json!({ "mean": f.mean, "margin95": f.margin });
         json!({
             "measure": "experiment",
             "scene": self.scene,
-            "way": self.way,
+            "way": self.strategy,
             "nodes": nodes,
             "trials": seeds,
             "earned": value(self.earned),
             "worst_route": value(self.worst),
             "late": value(self.late),
             "refused": value(self.refused),
-            "refused_again": value(self.again),
+            "refused_again": value(self.refused_again),
             "failed": value(self.failed),
             "p99_ms": value(self.p99_ms),
             "repeats": value(self.repeats),
@@ -80,11 +80,12 @@
         return Estimate { mean, margin: f64::NAN };
     }
     let variance = samples.iter().map(|s| (s - mean).powi(2)).sum::<f64>() / (count - 1.0);
-    Estimate { mean, margin: student(samples.len() - 1) * (variance / count).sqrt() }
+    Estimate { mean, margin: t_quantile(samples.len() - 1) * (variance / count).sqrt() }
 }
 
-/// Returns the 97.5% quantile of Student's distribution; from thirty degrees on, the normal one's.
-fn student(degrees: usize) -> f64 {
+/// Returns the 97.5% quantile of Student's t-distribution; from 30 degrees of freedom on, that of the
+/// normal distribution.
+fn t_quantile(degrees: usize) -> f64 {
     const TABLE: [f64; 10] =
         [12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228];
     match degrees {
--- a/xtask/src/main.rs
+++ b/xtask/src/main.rs
@@ -1,4 +1,4 @@
-//! Chores of the project: `cargo xtask demo | ci | bench | fuzz | experiment | soak | reference`.
+//! Development tasks of the project: `cargo xtask demo | ci | bench | fuzz | experiment | soak | reference`.
 
 mod bench;
 mod ci;
@@ -13,15 +13,15 @@
 use std::process::ExitCode;
 
 const HELP: &str = "\
-cargo xtask: chores of the project
+cargo xtask: development tasks of the project
 
-  demo        starts a mesh of real processes and shows what it does
-  ci          format, linter, documentation and tests
+  demo        starts a mesh of real processes and checks its main functions step by step
+  ci          format, linter, documentation, tests and a short soak
   fuzz        random scripts against the oracle [--seed N] [--steps M]
   soak        real processes under random faults [--seed N] [--seeds M] [--seconds S] [--nodes K]
-  experiment  compares ways of deciding on a model [--seeds N] [--nodes K] [--scene NAME]
+  experiment  compares call policies in a simulation [--seeds N] [--nodes K] [--scene NAME]
               [--json FILE] [--plot FILE.svg] [--without NAME | --list]
-  bench       measures [--nodes 10,40,120] [--json FILE] [--only PART]
+  bench       benchmarks [--nodes 10,40,120] [--json FILE] [--only PART]
   reference   writes docs/PROFILES.md, docs/SETTINGS.md and docs/METRICS.md from the code
   --help      prints this text
 ";
@@ -34,7 +34,7 @@
     }
     let result = match arguments.subcommand() {
         Ok(Some(command)) => run(&command, arguments),
-        Ok(None) => Err(tools::Failure::Usage("name a chore".to_owned())),
+        Ok(None) => Err(tools::Failure::Usage("no command given".to_owned())),
         Err(error) => Err(tools::Failure::Usage(error.to_string())),
     };
     match result {
@@ -68,6 +68,6 @@
         "experiment" => experiment::run(arguments),
         "fuzz" => fuzz::run(arguments),
         "soak" => soak::run(arguments),
-        other => Err(tools::Failure::Usage(format!("unknown chore {other}"))),
+        other => Err(tools::Failure::Usage(format!("unknown command {other}"))),
     }
 }
--- a/xtask/src/reference.rs
+++ b/xtask/src/reference.rs
@@ -1,4 +1,4 @@
-//! Reference pages, written from the same tables that the code reads by.
+//! Writes the reference pages from the tables that the code itself parses by.
 
 use model::profile;
 use node::settings;
@@ -12,7 +12,7 @@
 const PROFILE_REST: &str = "\
 | field | shape | default | decides |
 |---|---|---|---|
-| `spill` | true or false | `true` | whether upstreams of other data centres are used when none of the own is able |
+| `spill` | true or false | `true` | whether upstreams of other data centres are used when no upstream of the node's own data centre is available |
 | `idempotent_methods` | list of methods in capitals | `[\"GET\", \"HEAD\"]` | methods whose calls may be run more than once |
 | `routes` | list of at most 64 routes, first match wins | `[]` | exceptions for some paths |
 
@@ -23,20 +23,20 @@
 | `prefix` | a path that begins with `/` | required | paths that it applies to, without the service's name |
 | `methods` | list of methods in capitals | `[]`, all | methods that it applies to |
 | `idempotent` | true or false | `false` | whether these calls may be run more than once |
-| `deadline_ms` | 0 to 600000 ms | `0`, the profile's | time such a call may take |
+| `deadline_ms` | 0 to 600000 ms | `0`, the profile's | deadline of these calls |
 
-A service, key `services/NAME`, is `{\"profile\": \"NAME\"}`. Where its upstreams bear few calls after a
-start, it also has `\"warm_up\": {\"calls_per_min\": 600, \"length_ms\": 3000}`: calls a minute that a cold
-upstream bears (1 to 60000000), and how long one stays cold (0 to 3600000 ms). Names are 1 to 63 of
-a-z, 0-9 and -.
+A service, key `services/NAME`, is `{\"profile\": \"NAME\"}`. If its upstreams need a warm-up after a
+start, it also has `\"warm_up\": {\"calls_per_min\": 600, \"length_ms\": 3000}`: the limit of calls a minute
+to a cold upstream (1 to 60000000), and how long an upstream stays cold (0 to 3600000 ms). Names are
+1 to 63 of a-z, 0-9 and -.
 
 A document with an unknown field, a duplicate key, a value out of range or a reference to a profile
-that the same revision does not hold is refused, and with it the whole revision: a misspelt field
-that was passed over would leave a default in force that nobody chose. A document may have at most
-1 MiB, all together 4 MiB, and JSON may be nested 128 deep.
+that the same revision does not contain is rejected, and with it the whole revision: if a misspelt
+field were ignored, its default would apply unnoticed. A document may have at most 1 MiB, all
+together 4 MiB, and JSON may be nested 128 deep.
 ";
 
-/// Writes all pages.
+/// Writes all pages into `docs`.
 pub(crate) fn write() -> Result<(), Failure> {
     let docs = tools::root().join("docs");
     for (name, text) in pages() {
@@ -45,7 +45,7 @@
     Ok(())
 }
 
-/// Returns each page's file name and text.
+/// Returns the file name and the text of each page.
 fn pages() -> [(&'static str, String); 3] {
     [("PROFILES.md", profiles()), ("SETTINGS.md", settings()), ("METRICS.md", metrics())]
 }
--- a/xtask/src/reference/tests.rs
+++ b/xtask/src/reference/tests.rs
@@ -1,4 +1,4 @@
-//! The pages in the repository are those that the code's tables make.
+//! The committed reference pages match the tables in the code.
 
 use super::{pages, tools};
 use node::settings::{FIELDS, read};
@@ -6,14 +6,14 @@
 use std::fs;
 
 #[test]
-fn pages_match_the_code() {
+fn committed_pages_match_the_code() {
     for (name, text) in pages() {
         let page = fs::read_to_string(tools::root().join("docs").join(name)).unwrap_or_default();
-        assert_eq!(page, text, "docs/{name} is old: run `cargo xtask reference`");
+        assert_eq!(page, text, "docs/{name} is outdated: run `cargo xtask reference`");
     }
 }
 
-/// Builds settings out of the examples of the fields that `keep` accepts.
+/// Builds a settings file from the examples of the fields that `keep` selects.
 fn example(keep: impl Fn(&str) -> bool) -> String {
     let mut root = Map::new();
     for field in FIELDS.iter().filter(|f| keep(f.pointer)) {
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn settings_on_the_page_are_those_that_are_read() {
+fn example_settings_are_valid_unless_a_required_one_is_missing() {
     assert!(read("page", &example(|_| true)).is_ok());
     for field in FIELDS {
         let without = read("page", &example(|pointer| pointer != field.pointer));
--- a/xtask/src/tools.rs
+++ b/xtask/src/tools.rs
@@ -1,4 +1,4 @@
-//! What several chores need.
+//! Helpers that several tasks share.
 
 use pico_args::Arguments;
 use std::{
@@ -6,12 +6,12 @@
     process::Command,
 };
 
-/// Why a chore did not succeed.
+/// Why a task failed.
 #[derive(Debug)]
 pub(crate) enum Failure {
-    /// It was called wrongly.
+    /// The command line is invalid.
     Usage(String),
-    /// It was carried out and failed.
+    /// The task ran and failed.
     Task(String),
 }
 
@@ -21,7 +21,7 @@
     }
 }
 
-/// Refuses arguments that nobody took.
+/// Fails if arguments are left that the task did not read.
 pub(crate) fn finish(arguments: Arguments) -> Result<(), Failure> {
     match arguments.finish().first() {
         None => Ok(()),
@@ -29,13 +29,13 @@
     }
 }
 
-/// Returns the folder of the workspace.
+/// Returns the root directory of the workspace.
 pub(crate) fn root() -> PathBuf {
-    let own = Path::new(env!("CARGO_MANIFEST_DIR"));
-    own.parent().unwrap_or(own).to_owned()
+    let package = Path::new(env!("CARGO_MANIFEST_DIR"));
+    package.parent().unwrap_or(package).to_owned()
 }
 
-/// Runs cargo in the workspace; its output goes where this program's goes.
+/// Runs cargo at the root of the workspace; it inherits standard output and standard error.
 pub(crate) fn cargo(arguments: &[&str]) -> Result<(), Failure> {
     let program = std::env::var("CARGO").unwrap_or_else(|_| "cargo".to_owned());
     let status = Command::new(program).args(arguments).current_dir(root()).status()?;
@@ -45,7 +45,7 @@
     Err(Failure::Task(format!("cargo {} failed", arguments.join(" "))))
 }
 
-/// Builds the programs as they are shipped and returns the folder they are in.
+/// Builds the release programs and returns the directory that contains them.
 pub(crate) fn build() -> Result<PathBuf, Failure> {
     cargo(&["build", "--release", "--package", "baobabrelayd", "--package", "baobabctl"])?;
     let target = std::env::var_os("CARGO_TARGET_DIR");
@@ -53,7 +53,7 @@
     Ok(target.join("release"))
 }
 
-/// Turns a missing value into a failure.
+/// Returns the value, or a failure with `reason` if there is none.
 pub(crate) fn require<T>(value: Option<T>, reason: &str) -> Result<T, Failure> {
     value.ok_or_else(|| Failure::Task(reason.to_owned()))
 }
