--- a/xtask/src/soak.rs
+++ b/xtask/src/soak.rs
@@ -1,15 +1,8 @@
-//! A randomized soak: real node processes in list mode, faults from outside them, and the promises
-//! checked from what callers and upstreams see.
+//! Randomized soak test: injects overlapping faults into real node processes in list mode and checks
+//! invariants from what callers, upstreams and operators observe.
 //!
-//! Faults come in series and overlap: processes are killed, paused, stopped and restarted,
-//! connections between nodes and to the platform are delayed, reset, cut one way or silenced by
-//! loopback proxies, the platform fails, upstreams lose and spoil answers, leave, are replaced and
-//! start again under their own names, and the configuration grows by many routes at once. In some runs callers
-//! bring requests that end every upstream that runs them, or operators have data centres evacuated.
-//!
-//! Every fourth instance has a link of 5 Mbit/s for calls of other nodes and to the platform. Messages
-//! between nodes do not pass a proxy: a node knows itself and is known to the others by the address
-//! at which it takes them.
+//! Calls of other nodes and connections to the platform pass loopback proxies; gossip does not, since
+//! nodes identify each other by the address that they listen at.
 
 mod cluster;
 mod content;
@@ -43,19 +36,19 @@
     tools::{self, Failure},
 };
 
-/// Data centres of the mesh; instances are spread evenly.
+/// Data centres; instances are spread evenly over them.
 const DATA_CENTRES: [&str; 3] = ["a", "b", "c"];
 
-/// Nodes for each of which a fault begins at a time.
+/// Nodes per fault that is injected in one step.
 const NODES_PER_FAULT: usize = 30;
 
-/// Time for everything to be as it should once the last fault has ended.
+/// Time limit for all nodes to become ready and current after the last fault has ended.
 const RECOVERY_LIMIT: Duration = Duration::from_secs(15);
 
-/// Time in which every kind of sound call is answered.
+/// Time before poison requests begin; every kind of valid call is answered within it.
 const POISON_DELAY: Duration = Duration::from_secs(1);
 
-/// What a soak consists of.
+/// Parameters of one run.
 #[derive(Clone, Copy, Debug)]
 struct Scenario {
     seed: u64,
@@ -65,33 +58,34 @@
     operators: Operators,
 }
 
-/// What operators do beside the injector.
+/// What operators do during the faults.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Operators {
     /// Nothing.
     Idle,
-    /// They have data centres evacuated and take them back.
+    /// They order evacuations of data centres and withdraw them.
     Evacuate,
 }
 
-/// What callers ask for.
+/// Kinds of requests that callers send.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Requests {
-    /// What upstreams can do.
+    /// Requests that upstreams can run.
     Valid,
-    /// Among it, after a while, requests that end every upstream that runs them.
+    /// Also poison requests, which crash every upstream that runs them, after this delay.
     ///
-    /// A call that was never answered cannot be told from a fatal one that ran beside it each time.
+    /// Without an earlier answer, a valid call that runs at the same crashes is quarantined too.
     Poison(Duration),
 }
 
-/// What failed once, with the cause of each; every run by hand plays them first.
+/// Regression scenarios, which every `cargo xtask soak` runs first.
 ///
-/// - 104, 1002, 1033, 1110: the fourth growth leads beyond the documents that a node takes; in 104 a
-///   node starts after it.
-/// - 1041, 1113: a stopping node that is held up until its limit is over never closes, and ends with calls in
-///   flight. In 1041 what holds it up is not drawn by the seed.
-/// - 4000: a read that ran beside a fatal request at two ends, and at the end of a third upstream, is refused.
+/// - 104, 1002, 1033, 1110: the fourth growth exceeds the nodes' limit of documents; in 104 a node
+///   starts after it.
+/// - 1041, 1113: a stopping node that is delayed until its stop limit exits with calls in flight; in
+///   1041 the seed does not determine the delay.
+/// - 4000: a read is refused that ran together with a poison request at two crashes and at the crash
+///   of a third upstream.
 const REGRESSIONS: [Scenario; 7] = [
     regression(104),
     regression(1_002),
@@ -108,7 +102,7 @@
     },
 ];
 
-/// What CI plays: between them, most kinds of injector.
+/// Scenarios of CI; together they inject most kinds of faults.
 const SHORT: [Scenario; 4] = [
     short_scenario(1, 5, Requests::Valid, Operators::Idle),
     short_scenario(3, 5, Requests::Valid, Operators::Idle),
@@ -135,7 +129,7 @@
     }
 }
 
-/// Plays one seed, or a number of them.
+/// Runs the regressions, then the scenarios of the given seeds.
 pub(crate) fn run(mut arguments: Arguments) -> Result<(), Failure> {
     let usage = |e: pico_args::Error| Failure::Usage(e.to_string());
     let seed: u64 = arguments.opt_value_from_str("--seed").map_err(usage)?.unwrap_or(1);
@@ -153,13 +147,13 @@
     run_all(&scenarios, &programs.join("baobabrelayd"))
 }
 
-/// Plays fixed seeds for a few seconds, as CI does.
+/// Runs the short scenarios of CI.
 pub(crate) fn short() -> Result<(), Failure> {
     let programs = tools::build()?;
     run_all(&SHORT, &programs.join("baobabrelayd"))
 }
 
-/// Plays everything, also after a violation.
+/// Runs all scenarios, also after a violation.
 fn run_all(scenarios: &[Scenario], daemon: &Path) -> Result<(), Failure> {
     let mut failed = Vec::new();
     for scenario in scenarios {
@@ -172,18 +166,21 @@
     if failed.is_empty() {
         return Ok(());
     }
-    Err(Failure::Task(format!("promises were broken under seeds {failed:?}")))
+    Err(Failure::Task(format!("invariants were violated under seeds {failed:?}")))
 }
 
-/// Plays one seed and returns every broken promise.
+/// Runs one scenario and returns all violations.
 fn run_one(scenario: Scenario, daemon: &Path) -> Result<Vec<String>, Failure> {
     let mut random = SmallRng::seed_from_u64(scenario.seed);
     let mut cluster = Cluster::start(daemon, scenario.seed, scenario.nodes, &DATA_CENTRES)?;
     let ready =
         cluster.wait(RECOVERY_LIMIT, |cluster| (0..scenario.nodes).all(|n| cluster.is_ready(n)));
     if ready.is_none() {
-        println!("seed {}: logs are kept in {}", scenario.seed, cluster.keep_logs().display());
-        return Err(Failure::Task(format!("the nodes did not become ready: {}", cluster.states())));
+        println!("seed {}: logs kept in {}", scenario.seed, cluster.keep_logs().display());
+        return Err(Failure::Task(format!(
+            "the nodes did not become ready, so that no fault was injected: {}",
+            cluster.states()
+        )));
     }
     let observations = Arc::new(Observations::default());
     let running = Arc::new(AtomicBool::new(true));
@@ -216,7 +213,11 @@
     load::finish(callers);
     let mut violations = invariants::violations(&cluster, &observations);
     match recovered {
-        Some(time) => println!("seed {}: in order after {} ms", scenario.seed, time.as_millis()),
+        Some(time) => println!(
+            "seed {}: all nodes ready and current after {} ms",
+            scenario.seed,
+            time.as_millis()
+        ),
         None => {
             violations.push(format!("not all nodes are ready and current: {}", cluster.states()))
         }
@@ -225,7 +226,7 @@
     let counts = (observations.summary(), injector.summary());
     println!("seed {}: {}, {}, evacuation {evacuations}", scenario.seed, counts.0, counts.1);
     if !violations.is_empty() {
-        println!("logs are kept in {}", cluster.keep_logs().display());
+        println!("logs kept in {}", cluster.keep_logs().display());
     }
     Ok(violations)
 }
--- a/xtask/src/soak/cluster.rs
+++ b/xtask/src/soak/cluster.rs
@@ -1,4 +1,4 @@
-//! All instances of a soak and their platform.
+//! Cluster of a run: all instances and the platform.
 
 use fleet::directory::Standing;
 use rand::{SeedableRng, rngs::SmallRng};
@@ -23,18 +23,18 @@
 pub(crate) struct Cluster {
     pub(crate) platform: Platform,
     pub(crate) content: Content,
-    /// What was out of order at the platform.
+    /// Conditions of the platform.
     pub(crate) history: History,
     pub(crate) instances: Vec<Instance>,
     pub(crate) runtime: Runtime,
     daemon: PathBuf,
     folder: PathBuf,
-    /// Whether the folder stays.
+    /// Whether the folder is kept after the run.
     keep: bool,
 }
 
 impl Cluster {
-    /// Starts platform, upstreams, proxies and nodes, and publishes a first version.
+    /// Starts the platform, upstreams, proxies and nodes, and publishes a first version.
     pub(crate) fn start(
         daemon: &Path,
         seed: u64,
@@ -75,7 +75,7 @@
         Ok(cluster)
     }
 
-    /// Changes how the platform behaves.
+    /// Sets the mode of the platform and records outages.
     pub(crate) fn set_platform(&mut self, mode: platform::Mode) {
         if mode == platform::Mode::Down {
             self.history.begin(Condition::Outage);
@@ -86,14 +86,14 @@
         }
     }
 
-    /// Writes that an instance's upstream leaves.
+    /// Lists an instance's upstream as leaving.
     pub(crate) fn leave(&mut self, number: usize) {
         let instance = &mut self.instances[number];
         self.platform.register(&instance.id, Some(instance.entry(Standing::Leaving)));
         instance.history.begin(Condition::Leaving);
     }
 
-    /// Has a data centre evacuated, or takes it back.
+    /// Orders or withdraws the evacuation of a data centre.
     pub(crate) fn set_evacuation(&mut self, data_centre: &str, evacuation: Evacuation) {
         let instances =
             self.instances.iter_mut().filter(|instance| instance.data_centre == data_centre);
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Replaces an upstream by one of another identity at the same address.
+    /// Replaces an upstream by one with a new identity at the same address.
     pub(crate) fn replace(&mut self, number: usize) {
         let instance = &mut self.instances[number];
         self.platform.register(&instance.id, None);
@@ -117,14 +117,14 @@
         self.begin_incarnation(number);
     }
 
-    /// Ends the process of an upstream without a word to the platform.
+    /// Kills the process of an upstream without an update of the platform.
     pub(crate) fn kill_upstream(&mut self, number: usize) {
         let instance = &mut self.instances[number];
         instance.history.begin(Condition::Gone);
         instance.upstream.kill();
     }
 
-    /// Starts an upstream that was killed under the identity that it had.
+    /// Restarts a killed upstream with the same identity.
     pub(crate) fn restart_upstream(&mut self, number: usize) -> io::Result<()> {
         let instance = &mut self.instances[number];
         instance.restart_upstream(self.runtime.handle())?;
@@ -155,7 +155,7 @@
         Ok(())
     }
 
-    /// Asks a node to stop, unless that was done already.
+    /// Begins the planned stop of a node.
     pub(crate) fn stop(&mut self, number: usize) -> io::Result<()> {
         let instance = &mut self.instances[number];
         if instance.process.is_some() {
@@ -164,25 +164,30 @@
         instance.signal(Signal::TERM)
     }
 
-    /// Tells whether a node answers and holds a version and every upstream.
+    /// Tells whether a node has a version and knows every member.
     pub(crate) fn is_ready(&self, number: usize) -> bool {
         let Some(status) = self.instances[number].status() else { return false };
         status.version.revision > 0 && status.members.len() == self.instances.len()
     }
 
-    /// Tells whether a node is ready and holds the newest version.
+    /// Tells whether a node has the newest version and knows every member.
     pub(crate) fn is_recovered(&self, number: usize) -> bool {
         let Some(status) = self.instances[number].status() else { return false };
-        // Versions count the platform's publications, and so does its configuration's revision.
+        // The revision of a version is that of the platform's publication.
         status.members.len() == self.instances.len()
             && status.version.revision == self.content.newest()
     }
 
-    /// Describes every node, for a report.
+    /// Describes the revision and the number of members of every node, for error messages.
     pub(crate) fn states(&self) -> String {
         let state = |instance: &Instance| match instance.status() {
-            Some(s) => format!("{}: {} of {}", instance.id, s.version.revision, s.members.len()),
-            None => format!("{}: silent", instance.id),
+            Some(s) => format!(
+                "{}: revision {}, {} members",
+                instance.id,
+                s.version.revision,
+                s.members.len()
+            ),
+            None => format!("{}: no response", instance.id),
         };
         self.instances.iter().map(state).collect::<Vec<_>>().join(", ")
     }
@@ -192,17 +197,17 @@
         limit: Duration,
         done: impl Fn(&Cluster) -> bool,
     ) -> Option<Duration> {
-        let begun = Instant::now();
-        while begun.elapsed() < limit {
+        let started = Instant::now();
+        while started.elapsed() < limit {
             if done(self) {
-                return Some(begun.elapsed());
+                return Some(started.elapsed());
             }
             thread::sleep(Duration::from_millis(50));
         }
         None
     }
 
-    /// Returns the folder with the nodes' logs, which is kept.
+    /// Keeps the folder with the nodes' logs after the run and returns it.
     pub(crate) fn keep_logs(&mut self) -> &Path {
         self.keep = true;
         &self.folder
@@ -212,11 +217,11 @@
 impl Drop for Cluster {
     fn drop(&mut self) {
         for instance in &mut self.instances {
-            // The process may have ended by itself.
+            // The process may already have exited.
             let _ = instance.kill_node();
         }
         if !self.keep {
-            // What cannot be removed is left to the system's own clearing.
+            // Remaining files lie in the system's temporary folder.
             let _ = fs::remove_dir_all(&self.folder);
         }
     }
--- a/xtask/src/soak/content.rs
+++ b/xtask/src/soak/content.rs
@@ -1,33 +1,32 @@
-//! What the operators of a soak publish.
+//! Configuration versions that are published during a run.
 
 use standins::platform::Platform;
 use std::time::Instant;
 
-/// Services of the mesh, one after the other.
+/// Services; instances are assigned to them in turn.
 pub(crate) const SERVICES: [&str; 2] = ["stock", "pay"];
 
-/// Host that callers name.
+/// Host header of the calls.
 pub(crate) const HOST: &str = "soak.example";
 
-/// Beginnings of the paths of calls that may run more than once, and of those that may not, after
-/// the service's name.
+/// Path prefixes, after the service's name, of idempotent calls and of the others.
 pub(crate) const READS: &str = "read";
 pub(crate) const POSTS: &str = "post";
 
-/// Routes that are added at once, for the first time, the second time and so on.
+/// Number of routes that each growth adds, in order.
 const GROWTH: [usize; 4] = [400, 800, 1_600, 1_600];
 
-/// What has been published.
+/// All published versions.
 #[derive(Debug, Default)]
 pub(crate) struct Content {
-    /// When each good version was acknowledged, and its revision.
+    /// When each valid version was acknowledged, and its revision.
     versions: Vec<(Instant, u64)>,
     growths: usize,
     routes: usize,
 }
 
 impl Content {
-    /// Publishes another version.
+    /// Publishes a new version with a changed profile.
     pub(crate) fn publish(&mut self, platform: &Platform) {
         let slow_start_ms = 1_001 + self.versions.len();
         let profile = format!(
@@ -39,9 +38,9 @@
         self.write(platform, &documents);
     }
 
-    /// Adds many routes at once; returns how many.
+    /// Adds many routes in one version and returns their number.
     ///
-    /// Before the first time the configuration has none, and calls find their services by name.
+    /// Until the first growth there are no routes, and calls are routed by the service's name.
     pub(crate) fn grow(&mut self, platform: &Platform) -> usize {
         let Some(&count) = GROWTH.get(self.growths) else { return 0 };
         let mut documents = Vec::new();
@@ -67,10 +66,10 @@
         self.versions.last().map_or(0, |(_, revision)| *revision)
     }
 
-    /// Returns the revision of the newest version that was acknowledged until `moment`.
+    /// Returns the revision of the newest version that was acknowledged by `moment`.
     pub(crate) fn newest_at(&self, moment: Instant) -> u64 {
-        let until = self.versions.iter().rev().find(|(at, _)| *at <= moment);
-        until.map_or(0, |(_, revision)| *revision)
+        let newest = self.versions.iter().rev().find(|(at, _)| *at <= moment);
+        newest.map_or(0, |(_, revision)| *revision)
     }
 
     fn write(&mut self, platform: &Platform, documents: &[(String, String)]) {
--- a/xtask/src/soak/fault.rs
+++ b/xtask/src/soak/fault.rs
@@ -1,4 +1,4 @@
-//! What goes wrong, when, and for how long.
+//! Injects random faults and repairs them after a random time.
 
 use rand::{RngExt, rngs::SmallRng};
 use rustix::process::Signal;
@@ -11,7 +11,7 @@
 
 use crate::soak::{cluster::Cluster, history::Condition, proxy::Mode};
 
-/// Ways in which an upstream misbehaves.
+/// Faults of an upstream.
 const UPSTREAM_MODES: [upstream::Mode; 6] = [
     upstream::Mode::Silent,
     upstream::Mode::CloseBefore,
@@ -21,23 +21,24 @@
     upstream::Mode::Refuse,
 ];
 
+/// Network faults.
 const PROXY_MODES: [Mode; 4] = [Mode::Delay, Mode::Reset, Mode::Silent, Mode::OneWay];
 
-/// How long an upstream that leaves stays listed beyond the time of other faults, so that there is a
-/// time in which it must get nothing.
+/// Time for which a leaving upstream stays listed beyond the duration of a fault, so that there is a
+/// period in which it must get no new calls.
 const EXTRA_LEAVING: Duration = Duration::from_millis(2_500);
 
-/// Time from a planned stop until a node that is still there is killed. It should end within 4 s.
+/// Time from a planned stop until a node that still runs is killed; its own limit is 4 s.
 const STOP_LIMIT: Duration = Duration::from_secs(8);
 
-/// Time between two looks at a node that stops.
+/// Interval at which a stopping node is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What ends a fault.
+/// Action that ends a fault.
 #[derive(Clone, Copy, Debug)]
 enum Repair {
     StartNode(usize),
-    /// Starts a node that was asked to stop, once it has ended or this moment is over.
+    /// Starts a node again once its planned stop has ended or this moment has passed.
     RestartStopped(usize, Instant),
     ResumeNode(usize),
     RestoreNodeLinks(usize),
@@ -48,7 +49,7 @@
     RestartUpstream(usize),
 }
 
-/// Injector under way, and how many there were of each kind.
+/// Pending repairs, and the number of injected faults of each kind.
 #[derive(Debug, Default)]
 pub(crate) struct Injector {
     pending: Vec<(Instant, Repair)>,
@@ -56,7 +57,7 @@
 }
 
 impl Injector {
-    /// Begins a fault drawn at random.
+    /// Injects a random fault.
     pub(crate) fn inject(
         &mut self,
         cluster: &mut Cluster,
@@ -134,7 +135,7 @@
         Ok(())
     }
 
-    /// Ends the faults whose time is over.
+    /// Repairs the faults whose time is over.
     pub(crate) fn repair_due(&mut self, cluster: &mut Cluster) -> io::Result<()> {
         let now = Instant::now();
         let (due, later) =
@@ -143,7 +144,7 @@
         self.apply_all(due, cluster)
     }
 
-    /// Ends every fault; nodes that stop are given the time for it.
+    /// Repairs all faults; stopping nodes are awaited.
     pub(crate) fn repair_all(&mut self, cluster: &mut Cluster) -> io::Result<()> {
         while !self.pending.is_empty() {
             let pending = std::mem::take(&mut self.pending);
@@ -168,7 +169,7 @@
     }
 }
 
-/// Ends a fault, unless it is too early; tells whether it did.
+/// Applies a repair; returns false if it is too early.
 fn apply(cluster: &mut Cluster, repair: Repair) -> io::Result<bool> {
     match repair {
         Repair::StartNode(number) => start(cluster, number)?,
@@ -202,7 +203,7 @@
     Ok(true)
 }
 
-/// Starts a node unless one runs, be it on its way to a stop.
+/// Starts a node unless its process still runs.
 fn start(cluster: &mut Cluster, number: usize) -> io::Result<()> {
     if cluster.instances[number].process.is_none() {
         cluster.start_node(number)?;
--- a/xtask/src/soak/history.rs
+++ b/xtask/src/soak/history.rs
@@ -1,43 +1,43 @@
-//! What was out of order at one place, and when.
+//! History of the conditions of an instance or of the platform.
 
 use std::time::Instant;
 
-/// What can be out of order.
+/// A condition that may excuse the violation of an invariant.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Condition {
-    /// The node was killed; it lasts until its successor serves.
+    /// The node was killed; lasts until its next process serves.
     Killed,
-    /// The node's process stands still.
+    /// The node's process is suspended.
     Paused,
-    /// The node was asked to stop and has not ended.
+    /// The node was asked to stop and has not exited.
     Stopping,
-    /// The node has ended by itself; it lasts until its successor serves.
+    /// The node has exited after a planned stop; lasts until its next process serves.
     Stopped,
-    /// The node has ended though nobody asked it to.
+    /// The node has exited unexpectedly.
     Crashed,
-    /// The network between other nodes and this one's calls is bad.
+    /// The network between the other nodes and this one's listener for their calls is faulty.
     Nodes,
-    /// The network between the node and the platform is bad.
+    /// The network between the node and the platform is faulty.
     Platform,
-    /// The upstream misbehaves.
+    /// The upstream is faulty.
     Upstream,
-    /// The upstream's process is gone.
+    /// The upstream's process was killed.
     Gone,
-    /// The platform has acknowledged that the upstream leaves.
+    /// The platform lists the upstream as leaving.
     Leaving,
-    /// The platform has acknowledged that the upstream's data centre is evacuated.
+    /// The platform lists the upstream's data centre as evacuated.
     Evacuated,
-    /// The platform itself serves nobody.
+    /// The platform serves no node.
     Outage,
 }
 
-/// A time during which something was out of order; without an end, it still is.
+/// A period in which a condition held; without an end, it still holds.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Span {
     pub(crate) condition: Condition,
     pub(crate) from: Instant,
     pub(crate) until: Option<Instant>,
-    /// When it was seen to last, most recently; its end may be noticed late.
+    /// When the condition was last known to hold; its end may be noticed late.
     pub(crate) confirmed: Instant,
 }
 
@@ -47,14 +47,14 @@
     }
 }
 
-/// All that was out of order at one place.
+/// All conditions of one instance or of the platform.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct History {
     spans: Vec<Span>,
 }
 
 impl History {
-    /// Notes that something is out of order from now on; it is noted once.
+    /// Begins a condition, unless it already holds.
     pub(crate) fn begin(&mut self, condition: Condition) {
         if !self.is_active(condition) {
             let from = Instant::now();
@@ -62,18 +62,18 @@
         }
     }
 
-    /// Notes that something is in order again.
+    /// Ends a condition, if it holds.
     pub(crate) fn end(&mut self, condition: Condition) {
-        let open = |span: &&mut Span| span.condition == condition && span.until.is_none();
-        if let Some(span) = self.spans.iter_mut().find(open) {
+        let is_match = |span: &&mut Span| span.condition == condition && span.until.is_none();
+        if let Some(span) = self.spans.iter_mut().find(is_match) {
             span.until = Some(Instant::now());
         }
     }
 
-    /// Notes that something is still out of order, if it is.
+    /// Confirms that a condition still holds, if it does.
     pub(crate) fn confirm(&mut self, condition: Condition) {
-        let open = |span: &&mut Span| span.condition == condition && span.until.is_none();
-        if let Some(span) = self.spans.iter_mut().find(open) {
+        let is_match = |span: &&mut Span| span.condition == condition && span.until.is_none();
+        if let Some(span) = self.spans.iter_mut().find(is_match) {
             span.confirmed = Instant::now();
         }
     }
@@ -82,7 +82,7 @@
         self.spans.iter().any(|span| span.condition == condition && span.until.is_none())
     }
 
-    /// Returns the spans of `conditions` that have a moment in common with the time given.
+    /// Returns the spans of `conditions` that overlap with the given period.
     pub(crate) fn during(
         &self,
         conditions: &[Condition],
@@ -95,7 +95,7 @@
             .filter(move |span| conditions.contains(&span.condition) && span.overlaps(from, until))
     }
 
-    /// Tells whether any of `conditions` was there at a moment of the time given.
+    /// Tells whether any of `conditions` overlaps with the given period.
     pub(crate) fn overlaps(&self, conditions: &[Condition], from: Instant, until: Instant) -> bool {
         self.during(conditions, from, until).next().is_some()
     }
--- a/xtask/src/soak/instance.rs
+++ b/xtask/src/soak/instance.rs
@@ -1,4 +1,4 @@
-//! One instance of a soak: an upstream, a node process and the proxies around it.
+//! One instance of a run: an upstream, a node process and the proxies in front of them.
 
 use fleet::directory::{Entry, Standing};
 use rustix::process::Signal;
@@ -24,30 +24,32 @@
     proxy::{Bandwidth, Proxy},
 };
 
-/// What an upstream's requests take.
-const WORK: Duration = Duration::from_millis(15);
+/// Service time of a request.
+const SERVICE_TIME: Duration = Duration::from_millis(15);
 
-/// Requests that an upstream works on at once.
+/// Concurrency limit of an upstream.
 pub(crate) const SLOTS: usize = 8;
 
-/// Longest wait for a node to take signals; it takes some 2 ms on an idle machine.
+/// Time limit for a node to start.
 const START_LIMIT: Duration = Duration::from_secs(2);
 
-/// Longest wait for the address of an upstream that was killed.
+/// Time limit for the address of a killed upstream to become free.
 const REBIND_LIMIT: Duration = Duration::from_secs(2);
 
-/// Links of every fourth instance, the last of each four: 5 Mbit/s, as the slowest customers' are.
+/// Bandwidth of slow links, in Mbit/s.
 const SLOW_MBPS: u32 = 5;
+
+/// The last one of this many instances has a slow link.
 const SLOW_EVERY: usize = 4;
 
-/// Ports that are the same on all instances.
+/// Ports that all instances share, each at its own address.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Ports {
     pub(crate) nodes: u16,
     pub(crate) peers: u16,
 }
 
-/// Where an instance stands.
+/// Location and addresses that an instance is created with.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Placement {
     pub(crate) number: usize,
@@ -56,20 +58,20 @@
     pub(crate) platform: SocketAddr,
 }
 
-/// One instance.
+/// An upstream, its node and the proxies in front of them.
 pub(crate) struct Instance {
-    /// Identity of its upstream's present life.
+    /// Current identity of its upstream.
     pub(crate) id: String,
     service: &'static str,
     pub(crate) data_centre: &'static str,
     pub(crate) upstream: Upstream,
-    /// Its upstream's previous processes.
+    /// Previous processes of its upstream.
     previous: Vec<Upstream>,
-    /// When its upstream's present life began, in ms of Unix time.
+    /// Start of its upstream's current incarnation, in ms of Unix time.
     started_ms: u64,
-    /// Between other nodes and this one's address for their calls.
+    /// Proxy from the other nodes to this one's listener for their calls.
     pub(crate) nodes: Proxy,
-    /// Between this node and the platform.
+    /// Proxy from this node to the platform.
     pub(crate) platform: Proxy,
     /// Address for callers.
     pub(crate) callers: SocketAddr,
@@ -77,23 +79,23 @@
     settings: PathBuf,
     log: PathBuf,
     pub(crate) process: Option<Child>,
-    /// What was out of order here.
+    /// Conditions of this instance.
     pub(crate) history: History,
-    renames: u32,
+    identities: u32,
 }
 
 impl Instance {
-    /// Starts upstream and proxies and writes the node's settings.
+    /// Starts the upstream and the proxies and writes the node's settings.
     pub(crate) fn prepare(place: Placement, folder: &Path, handle: &Handle) -> io::Result<Self> {
         let Placement { number, data_centre, ports, platform } = place;
         let mbps = if number % SLOW_EVERY == SLOW_EVERY - 1 { SLOW_MBPS } else { 0 };
         let bandwidth: Bandwidth = (mbps > 0).then_some(mbps * 1_000_000 / 8);
-        let (public, inner) = (address(1, number, 0), address(2, number, 0));
-        let upstream = start_upstream(public, handle)?;
-        let inner_nodes = address(2, number, ports.nodes);
-        let outer_nodes = address(1, number, ports.nodes);
-        let (nodes, _) = Proxy::start(outer_nodes, inner_nodes, bandwidth, handle)?;
-        let (platform, to_platform) = Proxy::start(inner, platform, bandwidth, handle)?;
+        let (proxy_side, node_side) = (address(1, number, 0), address(2, number, 0));
+        let upstream = start_upstream(proxy_side, handle)?;
+        let node_listener = address(2, number, ports.nodes);
+        let proxy_listener = address(1, number, ports.nodes);
+        let (nodes, _) = Proxy::start(proxy_listener, node_listener, bandwidth, handle)?;
+        let (platform, to_platform) = Proxy::start(node_side, platform, bandwidth, handle)?;
         let callers = address(2, number, port::free()?);
         let operators = address(2, number, port::free()?);
         let service = SERVICES[number / 3 % SERVICES.len()];
@@ -104,7 +106,7 @@
             "data_centre": data_centre,
             "listen": {
                 "traffic": callers.to_string(),
-                "nodes": inner_nodes.to_string(),
+                "nodes": node_listener.to_string(),
                 "peers": address(1, number, ports.peers).to_string(),
                 "operators": operators.to_string(),
             },
@@ -132,11 +134,11 @@
             log: folder.join(format!("node-{number}.log")),
             process: None,
             history: History::default(),
-            renames: 0,
+            identities: 0,
         })
     }
 
-    /// Returns the entry of its upstream.
+    /// Returns the directory entry of its upstream.
     pub(crate) fn entry(&self, standing: Standing) -> Entry {
         Entry {
             id: self.id.clone(),
@@ -151,60 +153,61 @@
         }
     }
 
-    /// Gives its upstream another identity.
+    /// Gives its upstream a new identity.
     pub(crate) fn rename_upstream(&mut self) {
-        self.renames += 1;
+        self.identities += 1;
         let (name, _) = self.id.rsplit_once('-').unwrap_or((&self.id, ""));
-        self.id = format!("{name}-{}", self.renames);
+        self.id = format!("{name}-{}", self.identities);
     }
 
-    /// Notes that a life of its upstream begins.
+    /// Begins a new incarnation of its upstream.
     pub(crate) fn begin_incarnation(&mut self) {
         let now = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64);
         self.started_ms = now.max(self.started_ms + 1);
     }
 
-    /// Starts another process of its upstream at the address of the one that was killed.
+    /// Replaces its upstream's process by a new one at the same address.
     pub(crate) fn restart_upstream(&mut self, handle: &Handle) -> io::Result<()> {
-        // It may have been started again meanwhile.
+        // An earlier repair may already have restarted it.
         self.upstream.kill();
         let address = self.upstream.address();
-        let begun = Instant::now();
+        let started = Instant::now();
         let upstream = loop {
             match start_upstream(address, handle) {
-                // The previous one's socket is closed by its own thread, a moment later.
-                Err(_) if begun.elapsed() < REBIND_LIMIT => thread::sleep(Duration::from_millis(2)),
-                started => break started?,
+                // The thread of the previous process closes its socket asynchronously.
+                Err(_) if started.elapsed() < REBIND_LIMIT => {
+                    thread::sleep(Duration::from_millis(2))
+                }
+                result => break result?,
             }
         };
         self.previous.push(std::mem::replace(&mut self.upstream, upstream));
         Ok(())
     }
 
-    /// Returns when each named piece of work was begun at its upstream.
+    /// Returns the start times and names of all calls that its upstream ran.
     pub(crate) fn starts(&self) -> Vec<(Instant, String)> {
         self.processes().flat_map(|upstream| upstream.ledger().starts).collect()
     }
 
-    /// Returns the requests that end upstreams, as they came to its upstream: when they were begun, and what
-    /// tells them apart.
+    /// Returns the start times and identities of the poison requests that its upstream ran.
     pub(crate) fn poison_requests(&self) -> Vec<(Instant, String)> {
         let runs = self.processes().flat_map(|upstream| upstream.ledger().fatal);
         runs.map(|(at, path)| (at, format!("{} {path}", self.service))).collect()
     }
 
-    /// Tells whether its upstream ended under a request within the time given.
+    /// Tells whether its upstream crashed under a request within the given period.
     pub(crate) fn crashed_between(&self, from: Instant, until: Instant) -> bool {
         let mut crashes = self.processes().flat_map(|upstream| upstream.ledger().ends);
         crashes.any(|at| (from..=until).contains(&at))
     }
 
-    /// Returns every process of its upstream, the present one last.
+    /// Returns all processes of its upstream, the current one last.
     fn processes(&self) -> impl Iterator<Item = &Upstream> {
         self.previous.iter().chain([&self.upstream])
     }
 
-    /// Returns how often each named piece of work was begun at its upstream.
+    /// Returns the number of runs of each call at its upstream.
     pub(crate) fn runs_by_work(&self) -> HashMap<String, u32> {
         let mut runs: HashMap<String, u32> = HashMap::new();
         for (_, work) in self.starts() {
@@ -213,14 +216,13 @@
         runs
     }
 
-    /// Starts the node and waits until it serves its operators' page, or has had the time for it.
+    /// Starts the node and waits until it accepts operators' requests, at most [`START_LIMIT`].
     ///
-    /// A signal in the first two milliseconds of a process, before its own code runs, ends it without
-    /// a word; a reload would then leave the node dead until the end of the soak.
+    /// A reload signal before the process has installed its handlers would terminate it.
     pub(crate) fn start_node(&mut self, daemon: &Path) -> io::Result<()> {
         self.process = Some(mesh::spawn(daemon, &self.settings, &self.log)?);
-        let begun = Instant::now();
-        while TcpStream::connect(self.operators).is_err() && begun.elapsed() < START_LIMIT {
+        let started = Instant::now();
+        while TcpStream::connect(self.operators).is_err() && started.elapsed() < START_LIMIT {
             thread::sleep(Duration::from_millis(1));
         }
         for condition in [Condition::Killed, Condition::Stopped, Condition::Crashed] {
@@ -241,7 +243,7 @@
         Ok(())
     }
 
-    /// Takes note if the node has ended by itself; tells whether it runs.
+    /// Records the exit of the node's process, if any; tells whether it still runs.
     pub(crate) fn poll_process(&mut self) -> io::Result<bool> {
         let Some(process) = &mut self.process else { return Ok(false) };
         if process.try_wait()?.is_none() {
@@ -249,8 +251,8 @@
             return Ok(true);
         }
         self.process = None;
-        let asked = self.history.is_active(Condition::Stopping);
-        self.history.begin(if asked { Condition::Stopped } else { Condition::Crashed });
+        let was_planned = self.history.is_active(Condition::Stopping);
+        self.history.begin(if was_planned { Condition::Stopped } else { Condition::Crashed });
         self.history.end(Condition::Stopping);
         Ok(false)
     }
@@ -266,8 +268,12 @@
 }
 
 fn start_upstream(listen: SocketAddr, handle: &Handle) -> io::Result<Upstream> {
-    let settings =
-        upstream::Settings { listen, work: WORK, slots: SLOTS, ..upstream::Settings::default() };
+    let settings = upstream::Settings {
+        listen,
+        work: SERVICE_TIME,
+        slots: SLOTS,
+        ..upstream::Settings::default()
+    };
     Upstream::start(settings, handle)
 }
 
--- a/xtask/src/soak/invariants.rs
+++ b/xtask/src/soak/invariants.rs
@@ -1,4 +1,4 @@
-//! The promises, as callers, upstreams and operators see them.
+//! Invariants of calls and versions, checked during and after a run.
 
 use rand::{RngExt, rngs::SmallRng};
 use std::{
@@ -15,13 +15,13 @@
     poison,
 };
 
-/// Most nodes that are now for their state in one look, so that a look at many takes no longer.
+/// Nodes queried in one check, which bounds the time of a check in large fleets.
 const MAX_NODES_PER_CHECK: usize = 20;
 
-/// Time for a version to be in force at a node that nothing hinders.
+/// Time limit for a version to come into force at an undisturbed node.
 const IN_FORCE: Duration = Duration::from_secs(4);
 
-/// What may keep a version from a node. An upstream's condition does not.
+/// Conditions that may delay a version at a node.
 const DISRUPTIONS: [Condition; 7] = [
     Condition::Killed,
     Condition::Paused,
@@ -32,7 +32,8 @@
     Condition::Platform,
 ];
 
-/// Looks at nodes that nothing hinders: in one life the version may only rise, and it is the newest.
+/// Checks that the revision of an undisturbed node never decreases within an incarnation and is the
+/// newest.
 pub(crate) fn check_nodes(
     cluster: &mut Cluster,
     observations: &Observations,
@@ -52,15 +53,16 @@
 fn check_node(cluster: &Cluster, number: usize, observations: &Observations) {
     let (instance, now) = (&cluster.instances[number], Instant::now());
     if instance.history.overlaps(&DISRUPTIONS, now, now) {
-        // One that is paused would keep the question waiting.
+        // A paused node would block the request.
         return;
     }
     let Some(status) = instance.status() else { return };
     let revision = status.version.revision;
     let previous = observations.observe_revision(number, status.incarnation, revision);
     if revision < previous {
-        observations
-            .record_violation(format!("node {number} went back from {previous} to {revision}"));
+        observations.record_violation(format!(
+            "node {number} went back from revision {previous} to {revision}"
+        ));
     }
     let Some(since) = now.checked_sub(IN_FORCE) else { return };
     let disrupted = instance.history.overlaps(&DISRUPTIONS, since, now)
@@ -69,12 +71,12 @@
     if !disrupted && revision < due {
         let ms = IN_FORCE.as_millis();
         observations.record_violation(format!(
-            "node {number} holds {revision}, not {due}, after {ms} ms of calm"
+            "node {number} has revision {revision} instead of {due} after {ms} ms without a disruption"
         ));
     }
 }
 
-/// Returns every broken violation.
+/// Returns all violations.
 pub(crate) fn violations(cluster: &Cluster, observations: &Observations) -> Vec<String> {
     let runs_by_work: Vec<HashMap<String, u32>> =
         cluster.instances.iter().map(|instance| instance.runs_by_work()).collect();
@@ -106,13 +108,13 @@
     match (kind, outcome) {
         (Kind::Post, _) if ran > 1 => Some("a call that is not idempotent runs at most once"),
         (_, Outcome::Quarantined) if ran == 0 => {
-            Some("a call that ends no upstream is not taken for one that does")
+            Some("a call that crashes no upstream is not quarantined")
         }
         (_, Outcome::NotRun | Outcome::Quarantined) if ran > 0 => {
-            Some("a call that is said not to have run has not run")
+            Some("a call that is reported as not run has not run")
         }
-        (_, Outcome::Answered) if ran == 0 => Some("an answer is an upstream's"),
-        (_, Outcome::Mixed) => Some("an answer is whole and belongs to its call"),
+        (_, Outcome::Answered) if ran == 0 => Some("every answer comes from an upstream"),
+        (_, Outcome::Mixed) => Some("an answer is complete and belongs to its call"),
         _ => None,
     }
 }
--- a/xtask/src/soak/leaving.rs
+++ b/xtask/src/soak/leaving.rs
@@ -1,5 +1,4 @@
-//! The promise to an upstream that leaves, or whose data centre is evacuated: nothing new from a while after that
-//! was acknowledged on.
+//! Checks that an upstream gets no new calls once it is leaving or its data centre is evacuated.
 
 use std::time::{Duration, Instant};
 
@@ -9,13 +8,13 @@
     instance::Instance,
 };
 
-/// Time after the platform's acknowledgement in which an upstream may still get something new.
+/// Time after the platform's acknowledgement in which an upstream may still get new calls.
 const GRACE: Duration = Duration::from_secs(2);
 
-/// How long after a node's pause or an outage of the platform word of it may still be on the way.
+/// Time for which a node may be outdated after its pause or an outage of the platform.
 const PROPAGATION: Duration = Duration::from_secs(3);
 
-/// Returns every piece of work that an upstream got too late.
+/// Returns a violation for each call that an upstream got too late.
 pub(crate) fn violations(cluster: &Cluster) -> Vec<String> {
     let mut violations = Vec::new();
     for (number, instance) in cluster.instances.iter().enumerate() {
@@ -26,17 +25,17 @@
             violations.extend(late.map(|(at, work)| {
                 let ms = (*at - leave.from).as_millis();
                 let why = leave.condition;
-                format!("{work}: an upstream gets nothing new once it is {why:?}; it began at {number} after {ms} ms")
+                format!("{work}: an upstream gets no new calls once it is {why:?}; the call started at instance {number} after {ms} ms")
             }));
         }
     }
     violations
 }
 
-/// Tells whether a piece of work came too late, for no reason that excuses it.
+/// Tells whether a call came too late without an excuse.
 ///
-/// The node beside the upstream refuses whatever others offer, so it alone must know; and while it
-/// reaches other nodes, which no fault here prevents, the platform's silence to it alone is no excuse.
+/// Only the upstream's own node must know of the removal, since it refuses the calls of other nodes. It
+/// learns of it by gossip also without a connection to the platform.
 fn is_late(at: Instant, leave: Span, instance: &Instance, cluster: &Cluster) -> bool {
     if at <= leave.from + GRACE || leave.until.is_some_and(|until| at >= until) {
         return false;
--- a/xtask/src/soak/load.rs
+++ b/xtask/src/soak/load.rs
@@ -1,4 +1,4 @@
-//! Callers that keep their connections until the process at the other end is gone.
+//! Callers that make calls through every node over persistent connections.
 
 use bytes::Bytes;
 use standins::caller::{Answer, Call, Caller};
@@ -22,17 +22,17 @@
 /// Callers of each node.
 const CALLERS: usize = 3;
 
-/// Pause of a caller between two calls.
+/// Pause of a caller between two calls in small fleets.
 const PAUSE: Duration = Duration::from_millis(15);
 
-/// Most nodes with so many callers; of more, each has one, which pauses longer, so that the calls of
-/// all are as many as this machine carries besides its work on the nodes.
+/// Largest fleet with [`CALLERS`] callers per node. In larger ones each node has one caller, whose pause
+/// grows with the fleet, so that the total rate of calls stays constant.
 const MAX_NODES_AT_FULL_LOAD: usize = 30;
 
-/// Pause of such a caller, for each node.
+/// Pause of a caller in larger fleets, per node of the fleet.
 const PAUSE_PER_NODE: Duration = Duration::from_micros(1_300);
 
-/// Time that a caller grants a call, in ms.
+/// Deadline of a call, in ms.
 pub(crate) const DEADLINE_MS: u64 = 1_200;
 
 /// Starts callers of every node.
@@ -59,10 +59,10 @@
     (handle, tasks)
 }
 
-/// Waits until every caller has its last answer.
+/// Waits until every caller has finished its last call.
 pub(crate) fn finish((handle, tasks): (tokio::runtime::Handle, Vec<JoinHandle<()>>)) {
     for task in tasks {
-        // A caller that panicked has told so on standard error.
+        // The panic of a caller was already reported on standard error.
         let _ = handle.block_on(task);
     }
 }
@@ -76,7 +76,7 @@
 }
 
 impl Client {
-    /// Makes one call after the other.
+    /// Makes sequential calls and records each one.
     async fn call(self, observations: Arc<Observations>, running: Arc<AtomicBool>) {
         let mut caller = Caller::new(self.address);
         let mut number = 0_usize;
@@ -128,9 +128,9 @@
 fn answer_outcome(answer: &Answer, work: &str) -> Outcome {
     match answer.outcome() {
         "answered" if answer.status == 200 => {
-            let own = answer.header(standins::caller::WORK) == work;
-            let whole = answer.body.len() == 64;
-            if own && whole { Outcome::Answered } else { Outcome::Mixed }
+            let matches_call = answer.header(standins::caller::WORK) == work;
+            let is_complete = answer.body.len() == 64;
+            if matches_call && is_complete { Outcome::Answered } else { Outcome::Mixed }
         }
         "answered" => Outcome::Failed,
         "not-run" if answer.header("baobab-cause") == "quarantined" => Outcome::Quarantined,
--- a/xtask/src/soak/observations.rs
+++ b/xtask/src/soak/observations.rs
@@ -1,4 +1,4 @@
-//! What callers have seen, and what was seen of the nodes.
+//! Observations of a run: finished calls, revisions of the nodes, and violations.
 
 use std::{
     collections::BTreeMap,
@@ -13,44 +13,44 @@
     Post,
 }
 
-/// How a call ended for its caller.
+/// How a call ended for its caller; the names are part of the printed summary.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(crate) enum Outcome {
     Answered,
-    /// An upstream's own failure.
+    /// The upstream answered with an error status.
     Failed,
     NotRun,
-    /// It was not run since upstreams ended under such calls.
+    /// It was not run, because upstreams crashed under the same request.
     Quarantined,
     Unknown,
-    /// No connection could be opened.
+    /// The connection failed to open.
     Refused,
-    /// The connection ended before an answer began.
+    /// The connection closed before the first byte of the answer.
     Broken,
-    /// The connection ended within the answer.
+    /// The connection closed within the answer.
     Cut,
-    /// The answer is not whole, or another call's.
+    /// The answer is incomplete or belongs to another call.
     Mixed,
 }
 
-/// A call that has ended.
+/// A finished call.
 #[derive(Clone, Debug)]
 pub(crate) struct Record {
-    /// Number of the instance that it was made to.
+    /// Number of the instance whose node received it.
     pub(crate) node: usize,
     pub(crate) work: String,
     pub(crate) kind: Kind,
     pub(crate) outcome: Outcome,
-    /// When its caller began to send it.
+    /// When its caller started to send it.
     pub(crate) started: Instant,
     pub(crate) finished: Instant,
 }
 
-/// What was seen until now.
+/// All observations so far.
 #[derive(Debug, Default)]
 pub(crate) struct Observations {
     calls: Mutex<Vec<Record>>,
-    /// Highest revision of each life of a node.
+    /// Highest revision of each incarnation of a node.
     versions: Mutex<BTreeMap<(usize, u64), u64>>,
     violations: Mutex<Vec<String>>,
 }
@@ -60,12 +60,12 @@
         lock(&self.calls).push(call);
     }
 
-    /// Notes a broken promise.
+    /// Records the violation of an invariant.
     pub(crate) fn record_violation(&self, text: String) {
         lock(&self.violations).push(text);
     }
 
-    /// Notes a node's revision; returns the highest that was seen before in the same life.
+    /// Records a node's revision; returns the previous highest of the same incarnation.
     pub(crate) fn observe_revision(&self, number: usize, incarnation: u64, revision: u64) -> u64 {
         let mut versions = lock(&self.versions);
         let known = versions.entry((number, incarnation)).or_default();
--- a/xtask/src/soak/poison.rs
+++ b/xtask/src/soak/poison.rs
@@ -1,4 +1,4 @@
-//! Callers whose requests end the upstreams that run them, and the promise about those.
+//! Callers that send poison requests, and the check that the nodes quarantine these.
 
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
 use standins::{
@@ -23,25 +23,25 @@
     load::DEADLINE_MS,
 };
 
-/// Time from one request of a caller to the next.
-const PAUSE: Duration = Duration::from_millis(250);
+/// Pause of a caller between two requests.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time after which a caller brings another request.
+/// Time after which a caller switches to a new poison request.
 const REQUEST_LIFETIME: Duration = Duration::from_secs(6);
 
-/// Callers of each service. They send the same requests.
+/// Callers of each service; all send the same requests.
 const CALLERS: usize = 2;
 
-/// Ends after which the nodes may not doubt the cause.
+/// Crashes after which the nodes must quarantine the request.
 const QUARANTINE_CRASHES: usize = 3;
 
-/// Runs beyond these that are allowed in any case.
+/// Runs that are tolerated after the quarantine is due.
 const MAX_LATE_RUNS: usize = 3;
 
-/// Time for a node that nothing hinders to know what the others know.
+/// Time limit for crash reports to reach an undisturbed node.
 const PROPAGATION: Duration = Duration::from_secs(3);
 
-/// What keeps a node from knowing it.
+/// Conditions that may delay crash reports to a node.
 const DISRUPTIONS: [Condition; 5] = [
     Condition::Killed,
     Condition::Paused,
@@ -50,7 +50,7 @@
     Condition::Crashed,
 ];
 
-/// Starts callers that send poison requests to nodes drawn at random, and begin `after` a while.
+/// Starts callers that send poison requests to random nodes after the delay `after`.
 pub(crate) fn start(
     cluster: &Cluster,
     after: Duration,
@@ -77,9 +77,9 @@
     mut random: SmallRng,
     running: Arc<AtomicBool>,
 ) {
-    let begun = Instant::now();
+    let started = Instant::now();
     while running.load(Ordering::SeqCst) {
-        let number = begun.elapsed().as_secs() / REQUEST_LIFETIME.as_secs();
+        let number = started.elapsed().as_secs() / REQUEST_LIFETIME.as_secs();
         let path = format!("/{service}/{READS}/{number}{FATAL}");
         let node = nodes[random.random_range(0..nodes.len())];
         let call = Call {
@@ -88,16 +88,16 @@
             work: Some(path.clone()),
             ..Call::get(&path)
         };
-        // It is never answered; what becomes of the upstreams is what counts.
+        // Poison requests get no answer; the ledgers of the upstreams are checked.
         let _ = Caller::new(node).call(&call).await;
-        sleep(PAUSE).await;
+        sleep(REQUEST_INTERVAL).await;
     }
 }
 
-/// Returns a finding for each request that went on to upstreams after the nodes had to know what it does.
+/// Returns a violation for each request that still reached upstreams after its quarantine was due.
 ///
-/// The first routes that operators publish change the path under which a caller's request comes to upstreams;
-/// from then on it is another one.
+/// The first growth changes the path under which a request reaches upstreams, which makes it a different
+/// request.
 pub(crate) fn violations(cluster: &Cluster) -> Vec<String> {
     let mut runs: BTreeMap<String, Vec<(Instant, usize)>> = BTreeMap::new();
     for (number, instance) in cluster.instances.iter().enumerate() {
@@ -110,15 +110,15 @@
 
 fn violation(cluster: &Cluster, request: &str, runs: &mut [(Instant, usize)]) -> Option<String> {
     runs.sort();
-    // Each run ends the upstream 20 ms later; the margin of the time below is much larger.
-    let (recognized, _) = *runs.get(QUARANTINE_CRASHES - 1)?;
+    // Each run crashes the upstream after 20 ms, which is far below [`PROPAGATION`].
+    let (due_from, _) = *runs.get(QUARANTINE_CRASHES - 1)?;
     let late = |(at, number): &&(Instant, usize)| {
         let since = at.checked_sub(PROPAGATION).unwrap_or(*at);
-        since > recognized && !cluster.instances[*number].history.overlaps(&DISRUPTIONS, since, *at)
+        since > due_from && !cluster.instances[*number].history.overlaps(&DISRUPTIONS, since, *at)
     };
     let late = runs.iter().filter(late).count();
     let all = runs.len();
     (late > MAX_LATE_RUNS).then(|| {
-        format!("{request}: {all} upstreams ended, {late} of them long after the first {QUARANTINE_CRASHES}")
+        format!("{request}: {all} upstreams crashed, {late} of them after the quarantine was due by the first {QUARANTINE_CRASHES} crashes")
     })
 }
--- a/xtask/src/soak/port/tests.rs
+++ b/xtask/src/soak/port/tests.rs
@@ -1,14 +1,13 @@
-//! Ports that nodes share, and those that the system chooses.
+//! Ports that all nodes share, and ports that the system assigns.
 
 use rand::{SeedableRng, rngs::SmallRng};
 
 use super::{SHARED_PORTS, free, shared};
 
-/// A soak ends at its start: one of 9 nodes, or of 200, is not there. The upstream beside it was given, at the
-/// node's address, the very port that all nodes share for messages between them, and the node could not
-/// listen. Both ports were drawn by the system from one range.
+/// Guards against a node that cannot listen because its upstream was assigned the port that all nodes
+/// share.
 #[test]
-fn no_upstream_is_given_a_port_that_all_nodes_share() {
+fn ports_assigned_by_the_system_never_equal_a_shared_port() {
     let mut random = SmallRng::seed_from_u64(3_037);
     for _ in 0..50 {
         let shared = shared(&mut random).expect("some port is free");
--- a/xtask/src/soak/proxy.rs
+++ b/xtask/src/soak/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy that treats connections as a bad network does.
+//! Loopback proxy that simulates network faults and limited bandwidth.
 
 use std::{
     io,
@@ -17,31 +17,31 @@
     time::{Instant, sleep, sleep_until},
 };
 
-/// How connections are treated, those that exist and new ones.
+/// Behaviour towards existing and new connections.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Mode {
-    /// Bytes pass.
+    /// Bytes are forwarded.
     Pass,
-    /// Bytes pass late.
+    /// Bytes are forwarded with a delay.
     Delay,
     /// Connections are reset.
     Reset,
-    /// Bytes vanish in both directions.
+    /// Bytes are dropped in both directions.
     Silent,
-    /// Answers vanish, requests pass.
+    /// Answers are dropped, requests are forwarded.
     OneWay,
 }
 
-/// Bandwidth of what a proxy stands for, in bytes a second each way; none does not limit it.
+/// Bandwidth of each direction, in bytes per second; unlimited if none.
 pub(crate) type Bandwidth = Option<u32>;
 
-/// Delay of each chunk of bytes under [`Mode::Delay`].
+/// Delay of each chunk in [`Mode::Delay`].
 const DELAY: Duration = Duration::from_millis(80);
 
-/// Bytes of one chunk, at most.
+/// Largest chunk, in bytes.
 const CHUNK_BYTES: usize = 16 * 1024;
 
-/// A running proxy; clones share it.
+/// Handle of a running proxy; clones refer to the same proxy.
 #[derive(Clone, Debug)]
 pub(crate) struct Proxy {
     mode: Arc<watch::Sender<Mode>>,
@@ -50,7 +50,7 @@
 }
 
 impl Proxy {
-    /// Passes connections to `listen` on to `target`.
+    /// Starts a proxy from `listen` to `target` and returns it with its address.
     pub(crate) fn start(
         listen: SocketAddr,
         target: SocketAddr,
@@ -75,13 +75,13 @@
 
     async fn accept(self, listener: TcpListener, target: SocketAddr) {
         while let Ok((client, _)) = listener.accept().await {
-            let served = self.clone();
+            let proxy = self.clone();
             tokio::spawn(async move {
-                let mut mode = served.mode.subscribe();
-                // Dropped connections are closed at once; with bytes unread the system resets them.
+                let mut mode = proxy.mode.subscribe();
+                // Dropping a socket closes it; the system resets it if it holds unread bytes.
                 tokio::select! {
                     _ = mode.wait_for(|mode| *mode == Mode::Reset) => {}
-                    () = served.serve(client, target) => {}
+                    () = proxy.serve(client, target) => {}
                 }
             });
         }
@@ -89,7 +89,7 @@
 
     async fn serve(&self, client: TcpStream, target: SocketAddr) {
         let Ok(server) = TcpStream::connect(target).await else { return };
-        // A connection that is gone already shows when it is used.
+        // An error here also occurs at the next read or write.
         let _ = (client.set_nodelay(true), server.set_nodelay(true));
         let (client_read, client_write) = client.into_split();
         let (server_read, server_write) = server.into_split();
@@ -114,7 +114,7 @@
                 break;
             }
         }
-        // The other side may have closed already.
+        // The peer may already have closed the connection.
         let _ = to.shutdown().await;
     }
 }
@@ -125,11 +125,11 @@
     Answers,
 }
 
-/// One direction of a link, which all connections share.
+/// One direction of a simulated link, shared by all connections of a proxy.
 #[derive(Debug)]
 struct Link {
     bandwidth: Bandwidth,
-    /// When the bytes so far are through.
+    /// When all bytes so far have been transmitted.
     idle_at: Mutex<Instant>,
 }
 
@@ -138,7 +138,7 @@
         Link { bandwidth, idle_at: Mutex::new(Instant::now()) }
     }
 
-    /// Waits until `count` bytes are through.
+    /// Waits until `count` bytes have been transmitted.
     async fn transmit(&self, count: usize) {
         let Some(bandwidth) = self.bandwidth else { return };
         let span = Duration::from_secs_f64(count as f64 / f64::from(bandwidth));
