--- a/xtask/src/bench/calls.rs
+++ b/xtask/src/bench/calls.rs
@@ -31,7 +31,7 @@
 /// Name of the load with two callers.
 const LIGHT: &str = "light";
 
-/// Loads and their parallel callers; a number is the percentage of all slots in use.
+/// Loads and their parallel callers; a numeric name gives them in per cent of all slots.
 const LOADS: [(&str, usize); 3] =
     [(LIGHT, 2), ("80", UPSTREAMS * SLOTS * 80 / 100), ("150", UPSTREAMS * SLOTS * 150 / 100)];
 
@@ -103,8 +103,8 @@
 }
 
 fn latency(mesh: &Mesh, load: &str, callers: usize, report: &mut Report) {
-    // At light load the upstreams answer at once: the timers of the stand-ins are accurate to 1 ms
-    // only, which would hide the latency that the nodes add.
+    // At light load the upstreams answer at once: the timers of the stand-ins are accurate only to
+    // 1 ms, which would hide the latency that the nodes add.
     let work = if load == LIGHT { Duration::ZERO } else { WORK };
     mesh.spots.iter().for_each(|spot| spot.upstream.set_work(work));
     let upstreams: Vec<SocketAddr> = mesh.spots[1..].iter().map(|s| s.upstream.address()).collect();
--- a/xtask/src/bench/overload.rs
+++ b/xtask/src/bench/overload.rs
@@ -70,13 +70,12 @@
 pub(crate) fn run(report: &mut Report) {
     let best = simulate(PRODUCT, Scenario { load_percent: 95, slowdown: 1, failing: false })
         .answered as f64;
-    for load in [150, 300] {
+    for load_percent in [150, 300] {
         for policies in [PRODUCT, UNBOUNDED, NO_BUDGET] {
-            let totals =
-                simulate(policies, Scenario { load_percent: load, slowdown: 1, failing: false });
+            let totals = simulate(policies, Scenario { load_percent, slowdown: 1, failing: false });
             report.add(
                 line("goodput_percent_of_best", policies)
-                    .count("load", load.into())
+                    .count("load", load_percent.into())
                     .figure("value", 100.0 * totals.answered as f64 / best),
             );
         }
@@ -233,8 +232,8 @@
         }
     }
 
-    fn may_retry(&mut self, outcome: Outcome, attempts: u32) -> bool {
-        let attempt = Attempt { outcome, kind: Kind::Idempotent, made: attempts, limit: 3 };
+    fn may_retry(&mut self, outcome: Outcome, made: u32) -> bool {
+        let attempt = Attempt { outcome, kind: Kind::Idempotent, made, limit: 3 };
         if self.policies.budget_percent.is_none() {
             self.budget = Budget::default();
         }
--- a/xtask/src/demo.rs
+++ b/xtask/src/demo.rs
@@ -37,7 +37,7 @@
 
 impl Checklist {
     /// Prints the result of a step and records a failure.
-    fn check(&mut self, verdict: Verdict, text: &str) {
+    fn record_step(&mut self, verdict: Verdict, text: &str) {
         self.steps += 1;
         let mark = if verdict == Verdict::Pass { "ok  " } else { "FAIL" };
         println!("{mark} {:>2}  {text}", self.steps);
@@ -114,7 +114,7 @@
 fn publish_first(mesh: &Mesh, checklist: &mut Checklist) {
     let count = mesh.spots.len();
     let joined = mesh.wait_upstreams("paydesk", 2 * UPSTREAMS, Duration::from_secs(10));
-    checklist.check(
+    checklist.record_step(
         joined.is_some().into(),
         &format!("{count} nodes in {} data centres have joined", DATA_CENTRES.len()),
     );
@@ -125,7 +125,7 @@
         ("services/paydesk", Some(r#"{"profile": "posting"}"#)),
     ]);
     let converged = mesh.wait_in_force(revision, CONVERGENCE_LIMIT);
-    checklist.check(
+    checklist.record_step(
         converged.is_some().into(),
         &format!("first profiles in force at every node after {}", format_ms(converged)),
     );
@@ -133,10 +133,12 @@
 
 fn make_calls(mesh: &Mesh, checklist: &mut Checklist) {
     let reads = load(mesh, 0, 200, |_| Call::get("/shelfview/stock/7"));
-    checklist
-        .check((reads.count("answered") == 200).into(), &format!("200 reads: {:?}", reads.counts));
+    checklist.record_step(
+        (reads.count("answered") == 200).into(),
+        &format!("200 reads: {:?}", reads.counts),
+    );
     let posts = load(mesh, 1, 200, |i| Call::post("/paydesk/payments", &format!("demo-{i}")));
-    checklist.check(
+    checklist.record_step(
         (posts.count("answered") == 200 && all_ran_at_most_once(mesh)).into(),
         &format!("200 payments: {:?}, none ran twice", posts.counts),
     );
@@ -155,7 +157,7 @@
         (worker.join().unwrap_or_default(), converged)
     });
     let all_answered = outcomes.count("answered") == outcomes.total() && outcomes.total() > 0;
-    checklist.check(
+    checklist.record_step(
         (converged.is_some() && all_answered).into(),
         &format!(
             "profile updated under load, in force after {}; {} reads, all answered",
@@ -172,7 +174,7 @@
         status(programs, mesh).contains("/attemps: is not a known field")
     });
     let unchanged = (0..mesh.spots.len()).all(|i| mesh.revision(i) == before);
-    checklist.check(
+    checklist.record_step(
         (seen.is_some() && unchanged).into(),
         &format!(
             "invalid revision {bad} rejected, revision {} stays in force",
@@ -181,7 +183,7 @@
     );
     let good = mesh.platform.publish(&[("profiles/reading", Some(READ_PROFILE))]);
     let converged = mesh.wait_in_force(good, CONVERGENCE_LIMIT);
-    checklist.check(
+    checklist.record_step(
         converged.is_some().into(),
         &format!("corrected revision in force after {}", format_ms(converged)),
     );
@@ -208,7 +210,7 @@
     running.store(false, Ordering::SeqCst);
     let outcomes = worker.join().unwrap_or_default();
     let all_answered = outcomes.count("answered") == outcomes.total();
-    checklist.check(
+    checklist.record_step(
         (code == Some(0) && all_answered).into(),
         &format!(
             "planned stop under load: exit {code:?}, {} reads, all answered",
@@ -240,7 +242,7 @@
             _ => runs <= 1,
         }
     });
-    checklist.check(
+    checklist.record_step(
         (consistent && outcomes.count("answered") > 0).into(),
         &format!(
             "a node killed: 300 payments in {} ms, {:?}, each outcome consistent with the upstreams' ledgers",
@@ -262,7 +264,7 @@
     silent.upstream.set_mode(upstream::Mode::Silent);
     let reads = load_in_parallel(mesh, 5, 8, 5);
     silent.upstream.set_mode(upstream::Mode::Normal);
-    checklist.check(
+    checklist.record_step(
         (reads.count("answered") == 40).into(),
         &format!("{} goes silent: 40 reads: {:?}", silent.instance, reads.counts),
     );
@@ -274,7 +276,7 @@
     let about_calls = |line: &&str| [" retried ", " ejected "].iter().any(|e| line.contains(e));
     let lines = text.lines().filter(|line| line.contains(&address)).filter(about_calls);
     lines.for_each(|line| println!("          {line}"));
-    checklist.check(
+    checklist.record_step(
         seen.is_some().into(),
         "the timeline names the silent upstream that the reads were retried after",
     );
@@ -290,7 +292,7 @@
     mesh.platform.set_mode(platform::Mode::Down);
     thread::sleep(Duration::from_secs(1));
     let reads = load(mesh, 1, 200, |_| Call::get("/shelfview/stock/7"));
-    checklist.check(
+    checklist.record_step(
         (reads.count("answered") == 200).into(),
         &format!("platform unavailable: 200 reads: {:?}", reads.counts),
     );
@@ -298,7 +300,7 @@
     let revision = mesh.platform.publish(&[("profiles/reading", Some(READ_PROFILE_UPDATED))]);
     let limit = Duration::from_secs(20);
     let converged = mesh.wait_in_force(revision, limit);
-    checklist.check(
+    checklist.record_step(
         converged.is_some().into(),
         &format!(
             "platform available again, new revision in force after {} (nodes back off during the outage)",
@@ -310,11 +312,13 @@
 fn query_operators(mesh: &Mesh, programs: &Path, checklist: &mut Checklist) -> Result<(), Failure> {
     let node = mesh.spots[1].operators.to_string();
     let explained = run_ctl(programs, &["explain", "shelfview", "--node", &node])?;
-    checklist
-        .check(explained.status.success().into(), "baobabctl explain names an eligible upstream");
+    checklist.record_step(
+        explained.status.success().into(),
+        "baobabctl explain names an eligible upstream",
+    );
     let text = events(programs, mesh)?;
     let expected = ["started", "in-force", "rejected", "leaving"];
-    checklist.check(
+    checklist.record_step(
         expected.iter().all(|event| text.contains(event)).into(),
         &format!("baobabctl timeline: {} merged events of all nodes", text.lines().count()),
     );
@@ -330,7 +334,7 @@
     let before = runs_of_service(mesh, "paydesk");
     let routed = load(mesh, 1, 200, |_| Call::get("/shop/stock/7"));
     let share = (runs_of_service(mesh, "paydesk") - before) as f64 / 200.0;
-    checklist.check(
+    checklist.record_step(
         (routed.count("answered") == 200 && (0.15..0.35).contains(&share)).into(),
         &format!(
             "a route by host and path in force after {}: 200 reads, {:.0}% of them to paydesk (25% configured)",
@@ -339,7 +343,7 @@
         ),
     );
     let unrouted = load(mesh, 1, 20, |_| Call::get("/shelfview/stock/7"));
-    checklist.check(
+    checklist.record_step(
         (unrouted.count("not-run") == 20).into(),
         "with routes in force, a path that matches none of them is not run",
     );
