--- a/xtask/src/soak/instance.rs
+++ b/xtask/src/soak/instance.rs
@@ -25,7 +25,7 @@
 };
 
 /// Service time of a request.
-const SERVICE_TIME: Duration = Duration::from_millis(15);
+const WORK: Duration = Duration::from_millis(15);
 
 /// Concurrency limit of an upstream.
 pub(crate) const SLOTS: usize = 8;
@@ -268,12 +268,8 @@
 }
 
 fn start_upstream(listen: SocketAddr, handle: &Handle) -> io::Result<Upstream> {
-    let settings = upstream::Settings {
-        listen,
-        work: SERVICE_TIME,
-        slots: SLOTS,
-        ..upstream::Settings::default()
-    };
+    let settings =
+        upstream::Settings { listen, work: WORK, slots: SLOTS, ..upstream::Settings::default() };
     Upstream::start(settings, handle)
 }
 
