--- a/xtask/src/demo.rs
+++ b/xtask/src/demo.rs
@@ -287,7 +287,8 @@
 }
 
 fn events(programs: &Path, mesh: &Mesh) -> Result<String, Failure> {
-    let output = run_ctl(programs, &["timeline", "--node", &mesh.instances[1].operators.to_string()])?;
+    let output =
+        run_ctl(programs, &["timeline", "--node", &mesh.instances[1].operators.to_string()])?;
     Ok(String::from_utf8_lossy(&output.stdout).into_owned())
 }
 
