--- a/crates/fleet/src/catchup.rs
+++ b/crates/fleet/src/catchup.rs
@@ -142,7 +142,7 @@
     ///
     /// From the second consecutive timeout on, the chunk size is halved; a single one may have
     /// other causes than a slow link.
-    pub fn note_timeout(&mut self) {
+    pub fn record_timeout(&mut self) {
         self.timeouts += 1;
         if self.timeouts > 1 {
             self.chunk_bytes = (self.chunk_bytes / 2).max(MIN_CHUNK_BYTES);
--- a/crates/fleet/src/control.rs
+++ b/crates/fleet/src/control.rs
@@ -185,10 +185,10 @@
             // Only nodes in listed mode send digests.
             Event::Digest(_) => {}
             Event::Source(answer) => self.handle_source(answer, now),
-            Event::Note(kind) => self.record(kind, now),
-            Event::UpstreamEnded(crash) => self.record_end(crash, now),
+            Event::Record(kind) => self.record(kind, now),
+            Event::UpstreamCrashed(crash) => self.record_crash(crash, now),
             Event::Cleared(request) => {
-                self.quarantine.note_answer(request, now.time);
+                self.quarantine.record_answer(request, now.time);
                 self.announce_pending = true;
             }
             Event::Leave => self.leave(now),
@@ -262,7 +262,7 @@
 
     fn handle_pause(&mut self, pause: Duration, now: Now) {
         self.record(Kind::Paused { ms: pause.as_millis() as u64 }, now);
-        self.prober.note_pause(now.time);
+        self.prober.record_pause(now.time);
         // Requests sent before the pause may have timed out; do not wait for them. The fence
         // rejects old versions, so late responses are harmless.
         self.pulling = None;
@@ -295,7 +295,7 @@
     fn handle_response(&mut self, peer: SocketAddr, response: Response, now: Now) {
         match response {
             Response::Heartbeat(heartbeat) => {
-                self.prober.note_success();
+                self.prober.record_success();
                 self.handle_heartbeat(heartbeat, now);
             }
             Response::Pull(bundle) => self.handle_bundle(peer, bundle, now),
@@ -402,8 +402,8 @@
     }
 
     /// Reports the requests that ran when this node's upstream ended.
-    fn record_end(&mut self, crash: Crash, now: Now) {
-        self.quarantine.note_end(&crash, now.time);
+    fn record_crash(&mut self, crash: Crash, now: Now) {
+        self.quarantine.record_crash(&crash, now.time);
         self.record(Kind::UpstreamEnded { requests: crash.labels() }, now);
         self.announce_pending = true;
     }
--- a/crates/fleet/src/control/fleet.rs
+++ b/crates/fleet/src/control/fleet.rs
@@ -35,7 +35,7 @@
         if is_newer_incarnation || heartbeat.members != self.roster.digest() {
             self.start_sync(heartbeat.from, now);
         } else {
-            self.roster.note_agreement();
+            self.roster.record_agreement();
         }
     }
 
@@ -68,7 +68,7 @@
     }
 
     pub(super) fn suspect(&mut self, peer: SocketAddr, now: Now) {
-        if !self.prober.note_failure(now.time) {
+        if !self.prober.record_failure(now.time) {
             return;
         }
         match self.roster.get(peer).map(|r| r.state) {
--- a/crates/fleet/src/control/port.rs
+++ b/crates/fleet/src/control/port.rs
@@ -32,9 +32,9 @@
     /// A response of the platform.
     Source(Answer),
     /// An event of the traffic path to record in the timeline.
-    Note(Kind),
-    /// The process of this node's upstream ended.
-    UpstreamEnded(Crash),
+    Record(Kind),
+    /// The process of this node's upstream crashed.
+    UpstreamCrashed(Crash),
     /// This node's upstream answered a request that is suspected of crashing upstreams.
     Cleared(Fingerprint),
     /// The node is to drain: it takes no more work.
--- a/crates/fleet/src/control/version.rs
+++ b/crates/fleet/src/control/version.rs
@@ -41,7 +41,7 @@
                 }
             }
             Answer::Failed(topic, failure) => {
-                if self.schedule.note_failure(topic, now.time, &mut self.random) {
+                if self.schedule.record_failure(topic, now.time, &mut self.random) {
                     self.record(Kind::SourceLost { reason: failure.to_string() }, now);
                 }
             }
@@ -55,8 +55,8 @@
         if version.revision == held.revision && version.digest != held.digest {
             self.report_conflict(version, now);
         }
-        let refused = self.fence.rejected().any(|r| r.version == version);
-        if version.revision <= held.revision || refused {
+        let rejected = self.fence.rejected().any(|r| r.version == version);
+        if version.revision <= held.revision || rejected {
             return;
         }
         self.offers.insert(peer, version);
@@ -69,8 +69,8 @@
     /// peers first.
     pub(super) fn pull(&mut self, _now: Now) {
         let held = self.fence.held();
-        let refused = |version: &Version| self.fence.rejected().any(|r| r.version == *version);
-        self.offers.retain(|_, version| Some(version.revision) > held && !refused(version));
+        let rejected = |version: &Version| self.fence.rejected().any(|r| r.version == *version);
+        self.offers.retain(|_, version| Some(version.revision) > held && !rejected(version));
         if !self.has_joined || self.pulling.is_some() {
             return;
         }
@@ -114,7 +114,7 @@
         if self.pulling == Some(peer) {
             self.pulling = None;
             self.failed_pulls += 1;
-            self.transfer.note_timeout();
+            self.transfer.record_timeout();
             self.record_failed_pull(peer, now);
         }
         self.offers.remove(&peer);
@@ -188,7 +188,7 @@
     }
 
     fn record_contact(&mut self, topic: Topic, freshness: Freshness, now: Now) {
-        if self.schedule.note_success(topic, freshness, self.rank, now.time) {
+        if self.schedule.record_success(topic, freshness, self.rank, now.time) {
             self.record(Kind::SourceBack, now);
         }
     }
--- a/crates/fleet/src/dissemination.rs
+++ b/crates/fleet/src/dissemination.rs
@@ -106,7 +106,7 @@
 pub struct Pull;
 
 impl Strategy for Pull {
-    fn targets(&self, _occasion: &Context<'_>, _random: &mut SmallRng) -> Vec<SocketAddr> {
+    fn targets(&self, _context: &Context<'_>, _random: &mut SmallRng) -> Vec<SocketAddr> {
         Vec::new()
     }
 }
--- a/crates/fleet/src/fence.rs
+++ b/crates/fleet/src/fence.rs
@@ -89,7 +89,7 @@
     }
 
     /// Tells whether a version with `revision` was rejected.
-    pub fn has_refused(&self, revision: u64) -> bool {
+    pub fn has_rejected(&self, revision: u64) -> bool {
         self.rejected.iter().any(|r| r.version.revision == revision)
     }
 
@@ -109,7 +109,7 @@
     /// rejected here.
     pub fn expected(&self) -> u64 {
         let known = self.known();
-        if self.has_refused(known) { self.version().revision } else { known }
+        if self.has_rejected(known) { self.version().revision } else { known }
     }
 
     /// Returns the snapshot in force.
@@ -138,12 +138,12 @@
     /// requested size.
     pub fn answer(&self, pull: &Pull) -> Bundle {
         let limit = pull.limit.unwrap_or(usize::MAX);
-        let piece = if pull.buckets.is_empty() {
+        let chunk = if pull.buckets.is_empty() {
             self.set.since_within(pull.have, limit)
         } else {
             self.set.differing_within(&pull.buckets, limit)
         };
-        Bundle { version: self.version(), delta: piece.delta, more: piece.more }
+        Bundle { version: self.version(), delta: chunk.delta, more: chunk.more }
     }
 
     /// Returns the documents in force with `delta` applied.
--- a/crates/fleet/src/listed.rs
+++ b/crates/fleet/src/listed.rs
@@ -31,7 +31,7 @@
     quarantine::{REPORTS_PER_DIGEST, Register},
     source::Query,
     status,
-    timeline::{Event as Note, Kind, Ring},
+    timeline::{Event as TimelineEvent, Kind, Ring},
     view::View,
 };
 
@@ -170,15 +170,15 @@
             Event::Digest(digest) => self.receive_digest(digest, now),
             Event::Request(request) => self.handle_request(request, now),
             Event::Response(peer, response) => self.handle_response(peer, response, now),
-            Event::Failed(peer, lost) => {
-                if let Some(reason) = lost.malformed {
+            Event::Failed(peer, error) => {
+                if let Some(reason) = error.malformed {
                     self.record(Kind::BadMessage { peer, reason }, now);
                 }
-                self.handle_pull_failure(lost.method, peer, now);
+                self.handle_pull_failure(error.method, peer, now);
             }
             Event::Source(answer) => self.handle_answer(answer, now),
-            Event::Note(kind) => self.record(kind, now),
-            Event::UpstreamEnded(loss) => self.record_crash(loss, now),
+            Event::Record(kind) => self.record(kind, now),
+            Event::UpstreamCrashed(crash) => self.record_crash(crash, now),
             Event::Cleared(request) => self.record_cleared(request, now),
             Event::Leave => self.leave(now),
             Event::Stop => self.gossip_to_all(now),
@@ -189,7 +189,7 @@
     }
 
     /// Returns the recorded events after `stamp`.
-    pub fn events_after(&self, stamp: Stamp) -> Vec<Note> {
+    pub fn events_after(&self, stamp: Stamp) -> Vec<TimelineEvent> {
         self.ring.after(stamp)
     }
 
@@ -320,7 +320,7 @@
     /// Handles a pull that `peer` did not answer in time.
     fn handle_pull_failure(&mut self, method: Method, peer: SocketAddr, now: Now) {
         if method == Method::Pull {
-            self.transfer.note_timeout();
+            self.transfer.record_timeout();
         }
         let failures = self.pulls.fail(method, peer, now.time);
         // Rate-limits the event, so that a long outage does not evict all others from the ring.
@@ -370,9 +370,9 @@
         if targets.is_empty() {
             return;
         }
-        let (heard_ms, rumours) = self.peers.indirect_state(now.time);
+        let (contact_ages_ms, rumours) = self.peers.indirect_state(now.time);
         let reports = self.quarantine.next_reports(REPORTS_PER_DIGEST, now.time);
-        let digest = Digest { heard_ms, rumours, piggyback, reports, ..self.digest(now) };
+        let digest = Digest { contact_ages_ms, rumours, piggyback, reports, ..self.digest(now) };
         self.effects.push(Effect::Gossip(targets, digest));
     }
 
@@ -387,7 +387,7 @@
             link_mbps: self.settings.link_mbps,
             failing: self.watch.is_failing(),
             leaving: self.leaving,
-            heard_ms: BTreeMap::new(),
+            contact_ages_ms: BTreeMap::new(),
             rumours: Vec::new(),
             piggyback: Piggyback::default(),
             reports: Vec::new(),
@@ -418,7 +418,7 @@
 
     fn record(&mut self, kind: Kind, now: Now) {
         let stamp = self.clock.stamp(now);
-        self.ring.push(Note { stamp, node: self.settings.instance.clone(), kind });
+        self.ring.push(TimelineEvent { stamp, node: self.settings.instance.clone(), kind });
     }
 }
 
@@ -444,7 +444,7 @@
         Control::status(self, now)
     }
 
-    fn events_after(&self, stamp: Stamp) -> Vec<Note> {
+    fn events_after(&self, stamp: Stamp) -> Vec<TimelineEvent> {
         Control::events_after(self, stamp)
     }
 
--- a/crates/fleet/src/listed/partition.rs
+++ b/crates/fleet/src/listed/partition.rs
@@ -7,17 +7,17 @@
 use std::{collections::BTreeMap, time::Duration};
 
 /// Time without contact of any node after which a data centre counts as unreachable.
-const SILENCE_LIMIT: Duration = Duration::from_secs(2);
+const CONTACT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Maximum age of the last contact within the own data centre for a verdict on others. A node without it
 /// is cut off itself, or its process was stalled.
 const MAX_OWN_CONTACT_AGE: Duration = Duration::from_millis(600);
 
 /// Minimum number of other nodes of the own data centre per remote one for a verdict; with fewer, random
-/// target selection alone can exceed [`SILENCE_LIMIT`].
+/// target selection alone can exceed [`CONTACT_TIMEOUT`].
 const MIN_OBSERVERS_PER_DATA_CENTRE: usize = 4;
 
-/// Maximum number of nodes whose ages arrive within [`SILENCE_LIMIT`].
+/// Maximum number of nodes whose ages arrive within [`CONTACT_TIMEOUT`].
 const MAX_OBSERVERS: usize = 30;
 
 /// Maximum number of tracked data centres; bounds memory against malformed digests.
@@ -65,9 +65,9 @@
         self.contacts.values_mut().for_each(|contact| contact.any = now);
     }
 
-    /// Returns the age of this node's own last contact with each data centre but `own`, in ms.
-    pub(super) fn ages_ms(&self, own: &str, now: Time) -> BTreeMap<String, u64> {
-        let others = self.contacts.iter().filter(|(data_centre, _)| *data_centre != own);
+    /// Returns the age of this node's own last contact with each data centre but `local`, in ms.
+    pub(super) fn ages_ms(&self, local: &str, now: Time) -> BTreeMap<String, u64> {
+        let others = self.contacts.iter().filter(|(data_centre, _)| *data_centre != local);
         others
             .map(|(data_centre, contact)| {
                 (data_centre.clone(), now.since(contact.direct).as_millis() as u64)
@@ -75,19 +75,23 @@
             .collect()
     }
 
-    /// Returns the unreachable data centres, as seen from `own` with `observers` other nodes in it.
-    pub(super) fn silent(&self, own: &str, observers: usize, now: Time) -> Vec<String> {
+    /// Returns the unreachable data centres, as seen from `local` with `observers` other nodes in it.
+    pub(super) fn unreachable(&self, local: &str, observers: usize, now: Time) -> Vec<String> {
         let is_connected = self
             .contacts
-            .get(own)
+            .get(local)
             .is_some_and(|contact| now.since(contact.direct) < MAX_OWN_CONTACT_AGE);
         let others = self.contacts.len().saturating_sub(1);
         if !is_connected || observers.min(MAX_OBSERVERS) < others * MIN_OBSERVERS_PER_DATA_CENTRE {
             return Vec::new();
         }
-        let silent = |(data_centre, contact): &(&String, &Contact)| {
-            *data_centre != own && now.since(contact.any) > SILENCE_LIMIT
+        let is_unreachable = |(data_centre, contact): &(&String, &Contact)| {
+            *data_centre != local && now.since(contact.any) > CONTACT_TIMEOUT
         };
-        self.contacts.iter().filter(silent).map(|(data_centre, _)| data_centre.clone()).collect()
+        self.contacts
+            .iter()
+            .filter(is_unreachable)
+            .map(|(data_centre, _)| data_centre.clone())
+            .collect()
     }
 }
--- a/crates/fleet/src/listed/peers.rs
+++ b/crates/fleet/src/listed/peers.rs
@@ -22,10 +22,10 @@
 };
 
 /// Gossip rounds without a digest of a node after which it counts as silent; tolerates lost datagrams.
-const SILENT_ROUNDS: u32 = 4;
+const MISSED_ROUNDS: u32 = 4;
 
-/// Margin added to [`SILENT_ROUNDS`] for scheduling delays on a loaded node.
-const SILENCE_MARGIN: Duration = Duration::from_millis(400);
+/// Margin added to [`MISSED_ROUNDS`] for scheduling delays on a loaded node.
+const DIGEST_TIMEOUT_MARGIN: Duration = Duration::from_millis(400);
 
 /// How long a node counts as leaving after its last announcement. Longer than a planned stop; expires in
 /// case the digest of the next incarnation was missed.
@@ -67,7 +67,7 @@
 pub(super) struct Peer {
     /// Its last digest, without rumours, contact ages, changes and reports.
     pub(super) digest: Option<Digest>,
-    heard: Time,
+    received_at: Time,
     listed: Time,
     /// Whether it is in the same data centre.
     near: bool,
@@ -102,13 +102,13 @@
 impl Peer {
     fn new(address: SocketAddr, near: bool, now: Time) -> Self {
         let weight = source::weight(address);
-        Peer { digest: None, heard: now, listed: now, near, weight, claim: None }
+        Peer { digest: None, received_at: now, listed: now, near, weight, claim: None }
     }
 
     /// Returns the node's latest status and its time: from a confirmed rumour, or else from its own digest.
     fn last_status(&self) -> Option<(Rumour, Time)> {
         let claimed = self.claim.and_then(|claim| Some((claim.rumour, claim.confirmed?)));
-        let own = || Some((Rumour::of(self.digest.as_ref()?), self.heard));
+        let own = || Some((Rumour::of(self.digest.as_ref()?), self.received_at));
         claimed.or_else(own)
     }
 }
@@ -121,7 +121,7 @@
     /// Announced that it accepts no more work.
     Leaving,
     /// Heard before, and not within the silence limit.
-    Silent,
+    Unreachable,
 }
 
 /// All other nodes, by peer address.
@@ -133,7 +133,7 @@
     /// Nodes that were not alive at the last check.
     unreachable: Vec<(SocketAddr, Liveness)>,
     /// Data centres that were unreachable at the last check.
-    silent: Vec<String>,
+    unreachable_data_centres: Vec<String>,
     /// Number of other nodes in the same data centre at the last check.
     near: usize,
     peers: BTreeMap<SocketAddr, Peer>,
@@ -149,7 +149,7 @@
             link_mbps,
             data_centre,
             unreachable: Vec::new(),
-            silent: Vec::new(),
+            unreachable_data_centres: Vec::new(),
             near: 0,
             peers: BTreeMap::new(),
             partitions: Detector::default(),
@@ -173,19 +173,20 @@
             .map(liveness)
             .filter(|(_, liveness)| *liveness != Liveness::Alive)
             .collect();
-        let silent = match self.is_full_mesh() {
+        let unreachable_data_centres = match self.is_full_mesh() {
             true => Vec::new(),
-            false => self.partitions.silent(&self.data_centre, self.near, now),
+            false => self.partitions.unreachable(&self.data_centre, self.near, now),
         };
-        let changed = unreachable != self.unreachable || silent != self.silent;
+        let changed = unreachable != self.unreachable
+            || unreachable_data_centres != self.unreachable_data_centres;
         self.unreachable = unreachable;
-        self.silent = silent;
+        self.unreachable_data_centres = unreachable_data_centres;
         changed
     }
 
     /// Returns whether `data_centre` was unreachable as a whole at the last check.
-    pub(super) fn is_silent(&self, data_centre: &str) -> bool {
-        self.silent.iter().any(|silent| silent == data_centre)
+    pub(super) fn is_unreachable(&self, data_centre: &str) -> bool {
+        self.unreachable_data_centres.iter().any(|name| name == data_centre)
     }
 
     /// Returns whether every node gossips with every other within a round.
@@ -220,14 +221,14 @@
         }
         let near = digest.data_centre == self.data_centre;
         self.partitions.record_contact(&digest.data_centre, now);
-        self.partitions.merge_ages(&digest.heard_ms, now);
+        self.partitions.merge_ages(&digest.contact_ages_ms, now);
         let mut changed = false;
         for rumour in &digest.rumours {
             changed |= self.receive_rumour(*rumour, address, now);
         }
         let status = Rumour::of(&digest);
         let digest = Digest {
-            heard_ms: BTreeMap::new(),
+            contact_ages_ms: BTreeMap::new(),
             rumours: Vec::new(),
             piggyback: Piggyback::default(),
             reports: Vec::new(),
@@ -235,8 +236,8 @@
         };
         let peer = self.peers.entry(address).or_insert_with(|| Peer::new(address, near, now));
         let before = peer.last_status().map(|(status, _)| status);
-        let heard_before = peer.digest.as_ref().map(|_| peer.heard);
-        peer.heard = now;
+        let received_before = peer.digest.as_ref().map(|_| peer.received_at);
+        peer.received_at = now;
         peer.near = near;
         peer.digest = Some(digest);
         // The node's own digest overrides rumours about it.
@@ -244,9 +245,9 @@
         if before.is_some_and(|before| before != status) && !self.is_full_mesh() {
             self.rumours.add(status);
         }
-        let was_silent =
-            heard_before.is_some_and(|heard| now.since(heard) > self.silence_limit(near));
-        changed || before != Some(status) || was_silent
+        let was_unreachable =
+            received_before.is_some_and(|at| now.since(at) > self.digest_timeout(near));
+        changed || before != Some(status) || was_unreachable
     }
 
     /// Applies a rumour from `reporter`; returns whether that confirmed it.
@@ -287,13 +288,14 @@
 
     /// Resets all ages after a pause of this process, during which it received nothing.
     pub(super) fn resume(&mut self, now: Time) {
-        self.peers.values_mut().for_each(|peer| peer.heard = now);
+        self.peers.values_mut().for_each(|peer| peer.received_at = now);
         self.partitions.resume(now);
     }
 
     /// Removes nodes that were neither listed nor heard within [`RETENTION`].
     pub(super) fn prune(&mut self, now: Time) {
-        self.peers.retain(|_, p| now.since(p.listed) < RETENTION || now.since(p.heard) < RETENTION);
+        self.peers
+            .retain(|_, p| now.since(p.listed) < RETENTION || now.since(p.received_at) < RETENTION);
     }
 
     /// Returns the liveness of the node at `address`; unknown nodes count as alive.
@@ -305,18 +307,18 @@
         let Some((status, at)) = peer.last_status() else { return Liveness::Alive };
         let age = now.since(at);
         if peer.claim.is_none_or(|claim| claim.confirmed.is_none())
-            && age > self.silence_limit(peer.near)
+            && age > self.digest_timeout(peer.near)
         {
-            return Liveness::Silent;
+            return Liveness::Unreachable;
         }
         if status.leaving && age < LEAVING_TTL { Liveness::Leaving } else { Liveness::Alive }
     }
 
     /// Returns the time without a digest after which a node counts as silent.
-    fn silence_limit(&self, near: bool) -> Duration {
+    fn digest_timeout(&self, near: bool) -> Duration {
         let nodes = self.peers.len();
         let group = if near { self.near } else { nodes.saturating_sub(self.near) };
-        rounds::round_time(nodes, group, near) * SILENT_ROUNDS + SILENCE_MARGIN
+        rounds::round_time(nodes, group, near) * MISSED_ROUNDS + DIGEST_TIMEOUT_MARGIN
     }
 
     /// Returns this node's rank in the reader order of its data centre.
@@ -404,8 +406,8 @@
         random: &mut SmallRng,
     ) -> Option<SocketAddr> {
         let health = |address, data_centre: &str| match self.liveness(address, now) {
-            Liveness::Silent => health(address).min(Health::Suspect),
-            _ if self.is_silent(data_centre) => health(address).min(Health::Suspect),
+            Liveness::Unreachable => health(address).min(Health::Suspect),
+            _ if self.is_unreachable(data_centre) => health(address).min(Health::Suspect),
             Liveness::Alive | Liveness::Leaving => health(address),
         };
         let score = |address, digest: &Digest| Score {
@@ -427,7 +429,7 @@
 
     /// Returns the highest configuration revision in a digest no older than [`DIGEST_TTL`]; 0 if none.
     pub(super) fn highest_config(&self, now: Time) -> u64 {
-        let recent = self.peers.values().filter(|peer| now.since(peer.heard) < DIGEST_TTL);
+        let recent = self.peers.values().filter(|peer| now.since(peer.received_at) < DIGEST_TTL);
         recent.filter_map(|peer| Some(peer.digest.as_ref()?.config)).max().unwrap_or(0)
     }
 
--- a/crates/fleet/src/listed/pull.rs
+++ b/crates/fleet/src/listed/pull.rs
@@ -114,7 +114,7 @@
     ) -> Option<SocketAddr> {
         // A rejected version must not hide older acceptable ones that other peers hold.
         let revision_of = |digest: &Digest| match digest.config {
-            refused if fence.has_refused(refused) => 0,
+            rejected if fence.has_rejected(rejected) => 0,
             config => config,
         };
         self.config.start(peers, fence.version().revision, now, random, revision_of)
--- a/crates/fleet/src/listed/reports.rs
+++ b/crates/fleet/src/listed/reports.rs
@@ -13,14 +13,14 @@
 };
 
 impl Control {
-    pub(super) fn record_crash(&mut self, loss: Crash, now: Now) {
-        self.quarantine.note_end(&loss, now.time);
-        self.record(Kind::UpstreamEnded { requests: loss.labels() }, now);
+    pub(super) fn record_crash(&mut self, crash: Crash, now: Now) {
+        self.quarantine.record_crash(&crash, now.time);
+        self.record(Kind::UpstreamEnded { requests: crash.labels() }, now);
         self.send_urgent_reports(now);
     }
 
     pub(super) fn record_cleared(&mut self, request: Fingerprint, now: Now) {
-        self.quarantine.note_answer(request, now.time);
+        self.quarantine.record_answer(request, now.time);
         self.send_urgent_reports(now);
     }
 
--- a/crates/fleet/src/listed/updates.rs
+++ b/crates/fleet/src/listed/updates.rs
@@ -45,8 +45,8 @@
     }
 
     fn apply_changeset(&mut self, changeset: Changeset, now: Now) {
-        let has_news = changeset.config.is_some() || !changeset.list.is_empty();
-        self.record_platform_answer(has_news, now);
+        let has_changes = changeset.config.is_some() || !changeset.list.is_empty();
+        self.record_platform_answer(has_changes, now);
         for fault in changeset.faults {
             self.record(Kind::SourceFault { fault }, now);
         }
@@ -106,13 +106,13 @@
 
     fn config_patch_since(&self, before: Holdings) -> Option<Patch> {
         let base = before.config.filter(|_| before.config != self.fence.held())?;
-        let piece = self.fence.set().since_within(Some(base), MAX_PIGGYBACK_BYTES);
-        let patch = Patch { base, version: self.fence.version(), delta: piece.delta };
-        (!piece.more).then_some(patch)
+        let chunk = self.fence.set().since_within(Some(base), MAX_PIGGYBACK_BYTES);
+        let patch = Patch { base, version: self.fence.version(), delta: chunk.delta };
+        (!chunk.more).then_some(patch)
     }
 
-    fn record_platform_answer(&mut self, has_news: bool, now: Now) {
-        if self.watch.record_success(has_news, now.time) {
+    fn record_platform_answer(&mut self, has_changes: bool, now: Now) {
+        if self.watch.record_success(has_changes, now.time) {
             self.record(Kind::SourceBack, now);
         }
     }
--- a/crates/fleet/src/listed/view.rs
+++ b/crates/fleet/src/listed/view.rs
@@ -93,9 +93,9 @@
             return State::Live;
         }
         match self.peers.liveness(self.node_of(entry), now.time) {
-            Liveness::Alive if self.peers.is_silent(&entry.data_centre) => State::Unreachable,
+            Liveness::Alive if self.peers.is_unreachable(&entry.data_centre) => State::Unreachable,
             Liveness::Alive => State::Live,
-            Liveness::Leaving | Liveness::Silent => State::Unreachable,
+            Liveness::Leaving | Liveness::Unreachable => State::Unreachable,
         }
     }
 
--- a/crates/fleet/src/listed/watch.rs
+++ b/crates/fleet/src/listed/watch.rs
@@ -120,9 +120,9 @@
     }
 
     /// Records an answer; returns whether it ends a series of failures.
-    pub(super) fn record_success(&mut self, has_news: bool, now: Time) -> bool {
+    pub(super) fn record_success(&mut self, has_changes: bool, now: Time) -> bool {
         self.in_flight = false;
-        self.due = if has_news { now + self.settings.pause } else { now };
+        self.due = if has_changes { now + self.settings.pause } else { now };
         self.failures = 0;
         let failed = self.failing_since.take().is_some();
         self.record_contact(now);
--- a/crates/fleet/src/message.rs
+++ b/crates/fleet/src/message.rs
@@ -126,7 +126,7 @@
     /// Time since the sender last received a message from each other data centre, in ms; only in
     /// fleets too large for every node to gossip with every other within seconds.
     #[serde(default, rename = "h", skip_serializing_if = "BTreeMap::is_empty")]
-    pub heard_ms: BTreeMap<String, u64>,
+    pub contact_ages_ms: BTreeMap<String, u64>,
     /// What other nodes recently reported about themselves.
     #[serde(default, rename = "r", skip_serializing_if = "Vec::is_empty")]
     pub rumours: Vec<Rumour>,
--- a/crates/fleet/src/probe.rs
+++ b/crates/fleet/src/probe.rs
@@ -74,19 +74,19 @@
     }
 
     /// Records an answered probe.
-    pub fn note_success(&mut self) {
+    pub fn record_success(&mut self) {
         self.health_score = self.health_score.saturating_sub(1);
     }
 
     /// Records a failed probe; returns whether the target may be suspected for it.
-    pub fn note_failure(&mut self, now: Time) -> bool {
+    pub fn record_failure(&mut self, now: Time) -> bool {
         self.health_score = (self.health_score + 1).min(MAX_HEALTH_SCORE);
         now >= self.grace_until
     }
 
     /// Records that this process was paused: its next failed probes are probably its own fault.
-    pub fn note_pause(&mut self, now: Time) {
-        cov_mark::hit!(doubt_after_pause);
+    pub fn record_pause(&mut self, now: Time) {
+        cov_mark::hit!(suspicion_suspended_after_pause);
         self.grace_until = now + RESUME_GRACE;
         self.due = now;
         self.health_score = MAX_HEALTH_SCORE;
--- a/crates/fleet/src/quarantine.rs
+++ b/crates/fleet/src/quarantine.rs
@@ -1,7 +1,7 @@
 //! Quarantine of poison requests, which crash the upstreams that run them.
 //!
 //! Nodes gossip which requests ran when their upstream crashed. Every node merges these reports into a
-//! [`Register`] and rejects a request for a while after [`ENDS_THRESHOLD`] crashes, unless an upstream
+//! [`Register`] and rejects a request for a while after [`CRASH_THRESHOLD`] crashes, unless an upstream
 //! answered it close to or after them. Each crash is blamed only on the request with the most crashes.
 
 mod case;
@@ -25,7 +25,7 @@
 ///
 /// One or two also occur by chance: a call that is lost in a crash is retried at another upstream,
 /// which the same outage may affect.
-pub const ENDS_THRESHOLD: usize = 3;
+pub const CRASH_THRESHOLD: usize = 3;
 
 /// Most requests tracked, at some 150 bytes each.
 const MAX_CASES: usize = 512;
@@ -43,17 +43,17 @@
 const TRANSMISSIONS: u32 = 6;
 
 /// The same for a request with one crash: most of these are not the cause.
-const FIRST_END_TRANSMISSIONS: u32 = 2;
+const FIRST_CRASH_TRANSMISSIONS: u32 = 2;
 
 /// Identifier of one crash of an upstream process, chosen at random by its node.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
-pub struct End(pub u32);
+pub struct CrashId(pub u32);
 
 /// A crash of this node's upstream.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Crash {
     /// Its identifier; one crash may be reported in parts.
-    pub end: End,
+    pub id: CrashId,
     /// Requests that were running.
     pub suspects: Vec<Suspect>,
 }
@@ -74,7 +74,7 @@
     pub request: Fingerprint,
     /// Crashes while it ran.
     #[serde(default, rename = "e", skip_serializing_if = "Vec::is_empty")]
-    pub ends: Vec<End>,
+    pub crashes: Vec<CrashId>,
     /// Whether an upstream answered it; then there are no crashes.
     #[serde(default, rename = "w", skip_serializing_if = "Not::not")]
     pub answered: bool,
@@ -100,7 +100,7 @@
         /// The request.
         request: Fingerprint,
         /// Upstreams that crashed while running it.
-        ends: usize,
+        crashes: usize,
         /// End of the quarantine.
         until: Time,
     },
@@ -115,9 +115,9 @@
     /// Returns the timeline event for the change at `now`.
     pub fn event(self, now: Time) -> Kind {
         match self {
-            Change::Quarantined { request, ends, until } => {
+            Change::Quarantined { request, crashes, until } => {
                 let seconds = until.since(now).as_secs();
-                Kind::Quarantined { request: request.to_string(), ends, seconds }
+                Kind::Quarantined { request: request.to_string(), ends: crashes, seconds }
             }
             Change::Released { request } => Kind::Released { request: request.to_string() },
         }
@@ -138,46 +138,46 @@
     /// Records a crash of this node's upstream at `now`.
     ///
     /// ```
-    /// use fleet::quarantine::{End, Crash, Register};
+    /// use fleet::quarantine::{CrashId, Crash, Register};
     /// use model::{request::{Fingerprint, Suspect}, time::Time};
     /// let mut register = Register::default();
     /// let suspect = Suspect { request: Fingerprint(7), label: "GET /".to_owned() };
-    /// for end in 0..3 {
-    ///     let crash = Crash { end: End(end), suspects: vec![suspect.clone()] };
-    ///     register.note_end(&crash, Time::from_millis(0));
+    /// for id in 0..3 {
+    ///     let crash = Crash { id: CrashId(id), suspects: vec![suspect.clone()] };
+    ///     register.record_crash(&crash, Time::from_millis(0));
     /// }
     /// assert_eq!(register.refresh(Time::from_millis(1)).unwrap().len(), 1);
     /// ```
-    pub fn note_end(&mut self, crash: &Crash, now: Time) {
+    pub fn record_crash(&mut self, crash: &Crash, now: Time) {
         for suspect in &crash.suspects {
             self.update_case(suspect.request, now, |case| {
-                case.is_urgent = case.add_ends(&[crash.end], now);
+                case.is_urgent = case.add_crashes(&[crash.id], now);
                 case.is_urgent
             });
         }
     }
 
     /// Records that this node's upstream answered a request at `now`.
-    pub fn note_answer(&mut self, request: Fingerprint, now: Time) {
+    pub fn record_answer(&mut self, request: Fingerprint, now: Time) {
         self.update_case(request, now, |case| {
             // Urgent if one more crash would quarantine the request.
-            case.is_urgent = case.ends.len() + 1 >= ENDS_THRESHOLD;
+            case.is_urgent = case.crashes.len() + 1 >= CRASH_THRESHOLD;
             case.answer(now)
         });
     }
 
     /// Merges reports of another node; returns whether any was new.
     pub fn merge(&mut self, reports: &[Report], now: Time) -> bool {
-        let mut is_news = false;
+        let mut is_new = false;
         for report in reports {
             let age = Duration::from_millis(report.age_ms);
             let at = Time::at(now.since(Time::default()).saturating_sub(age));
-            is_news |= self.update_case(report.request, now, |case| match report.answered {
+            is_new |= self.update_case(report.request, now, |case| match report.answered {
                 true => case.answer(at),
-                false => case.add_ends(&report.ends, at),
+                false => case.add_crashes(&report.crashes, at),
             });
         }
-        is_news
+        is_new
     }
 
     /// Returns up to `limit` reports for the next message: one of a quarantined request in
@@ -196,7 +196,7 @@
     fn changed_requests(&self, limit: usize) -> Vec<Fingerprint> {
         let changed = self.cases.iter().filter(|(_, case)| case.transmissions > 0);
         let mut changed: Vec<(usize, u32, Fingerprint)> = changed
-            .map(|(request, case)| (case.ends.len(), case.transmissions, *request))
+            .map(|(request, case)| (case.crashes.len(), case.transmissions, *request))
             .collect();
         changed.sort_unstable_by(|a, b| b.cmp(a));
         changed.into_iter().take(limit).map(|(_, _, request)| request).collect()
@@ -226,7 +226,7 @@
         self.cases.retain(|_, case| !case.is_over(now));
         let held = self.causes().into_iter().map(|request| (request, self.cases[&request].until()));
         let until = held.filter(|(_, until)| now < *until).collect();
-        let suspects = self.cases.iter().filter(|(_, case)| !case.ends.is_empty());
+        let suspects = self.cases.iter().filter(|(_, case)| !case.crashes.is_empty());
         let suspects = suspects.map(|(request, _)| *request).collect();
         let current = Arc::new(Quarantine { until, suspects });
         let before = std::mem::replace(&mut self.current, current);
@@ -237,8 +237,8 @@
     fn changes(&self, before: &Quarantine) -> Vec<Change> {
         let held = |(&request, &until): (&Fingerprint, &Time)| {
             let is_new = !before.until.contains_key(&request);
-            let ends = self.ends_of(request);
-            is_new.then_some(Change::Quarantined { request, ends, until })
+            let crashes = self.crashes_of(request);
+            is_new.then_some(Change::Quarantined { request, crashes, until })
         };
         let released = |&request: &Fingerprint| {
             let is_over = !self.current.until.contains_key(&request);
@@ -254,16 +254,16 @@
     /// unexplained crashes. Of requests with the same crashes, all count.
     fn causes(&self) -> Vec<Fingerprint> {
         let reaches_threshold =
-            |(_, case): &(&Fingerprint, &Case)| case.ends.len() >= ENDS_THRESHOLD;
+            |(_, case): &(&Fingerprint, &Case)| case.crashes.len() >= CRASH_THRESHOLD;
         let mut suspects: Vec<(&Fingerprint, &Case)> =
             self.cases.iter().filter(reaches_threshold).collect();
-        suspects.sort_by_key(|(_, case)| (Reverse(case.ends.len()), case.ended));
-        let mut explained: BTreeSet<End> = BTreeSet::new();
+        suspects.sort_by_key(|(_, case)| (Reverse(case.crashes.len()), case.last_crash));
+        let mut explained: BTreeSet<CrashId> = BTreeSet::new();
         let mut causes: Vec<(&Fingerprint, &Case)> = Vec::new();
         for (request, case) in suspects {
-            let has_same_ends = causes.iter().any(|(_, cause)| cause.ends == case.ends);
-            if has_same_ends || case.ends.difference(&explained).count() >= ENDS_THRESHOLD {
-                explained.extend(&case.ends);
+            let has_same_crashes = causes.iter().any(|(_, cause)| cause.crashes == case.crashes);
+            if has_same_crashes || case.crashes.difference(&explained).count() >= CRASH_THRESHOLD {
+                explained.extend(&case.crashes);
                 causes.push((request, case));
             }
         }
@@ -279,14 +279,14 @@
     pub fn status(&self, now: Time) -> Vec<status::Quarantined> {
         let held = |(request, until): (&Fingerprint, &Time)| status::Quarantined {
             request: request.to_string(),
-            ends: self.ends_of(*request),
+            ends: self.crashes_of(*request),
             seconds: until.since(now).as_secs(),
         };
         self.current.until.iter().map(held).collect()
     }
 
-    fn ends_of(&self, request: Fingerprint) -> usize {
-        self.cases.get(&request).map_or(0, |case| case.ends.len())
+    fn crashes_of(&self, request: Fingerprint) -> usize {
+        self.cases.get(&request).map_or(0, |case| case.crashes.len())
     }
 
     fn update_case(
@@ -301,7 +301,7 @@
             return false;
         }
         case.transmissions =
-            if case.ends.len() == 1 { FIRST_END_TRANSMISSIONS } else { TRANSMISSIONS };
+            if case.crashes.len() == 1 { FIRST_CRASH_TRANSMISSIONS } else { TRANSMISSIONS };
         self.cases.insert(request, case);
         self.changed = true;
         self.evict_excess();
@@ -314,8 +314,9 @@
         if self.cases.len() <= MAX_CASES {
             return;
         }
-        let least = self.cases.iter().min_by_key(|(_, case)| (case.ends.len(), case.ended));
-        if let Some(key) = least.map(|(key, _)| *key) {
+        let fewest =
+            self.cases.iter().min_by_key(|(_, case)| (case.crashes.len(), case.last_crash));
+        if let Some(key) = fewest.map(|(key, _)| *key) {
             self.cases.remove(&key);
         }
     }
@@ -339,9 +340,9 @@
         let case = self.cases.get_mut(&request)?;
         case.transmissions = case.transmissions.saturating_sub(1);
         case.is_urgent = false;
-        let answered = case.ends.is_empty();
-        let at = if answered { case.answered? } else { case.ended };
-        let ends = case.ends.iter().copied().collect();
-        Some(Report { request, ends, answered, age_ms: now.since(at).as_millis() as u64 })
+        let answered = case.crashes.is_empty();
+        let at = if answered { case.answered? } else { case.last_crash };
+        let crashes = case.crashes.iter().copied().collect();
+        Some(Report { request, crashes, answered, age_ms: now.since(at).as_millis() as u64 })
     }
 }
--- a/crates/fleet/src/quarantine/case.rs
+++ b/crates/fleet/src/quarantine/case.rs
@@ -3,21 +3,21 @@
 use model::{request::EXONERATION_WINDOW, time::Time};
 use std::{collections::BTreeSet, time::Duration};
 
-use crate::quarantine::{ENDS_THRESHOLD, End};
+use crate::quarantine::{CRASH_THRESHOLD, CrashId};
 
 /// Most crashes kept; later ones only restart the quarantine.
-const MAX_ENDS: usize = 8;
+const MAX_CRASHES: usize = 8;
 
-/// Length of a quarantine after [`ENDS_THRESHOLD`] crashes, from the last one; doubled for each
+/// Length of a quarantine after [`CRASH_THRESHOLD`] crashes, from the last one; doubled for each
 /// further crash.
 const BASE_PERIOD: Duration = Duration::from_secs(600);
 
 /// A request under suspicion.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Case {
-    pub(super) ends: BTreeSet<End>,
+    pub(super) crashes: BTreeSet<CrashId>,
     /// Time of the latest crash.
-    pub(super) ended: Time,
+    pub(super) last_crash: Time,
     pub(super) answered: Option<Time>,
     /// Digests in which a change is still to be sent.
     pub(super) transmissions: u32,
@@ -28,13 +28,13 @@
 impl Case {
     /// Returns the length of the quarantine.
     fn period(&self) -> Duration {
-        let further = self.ends.len().saturating_sub(ENDS_THRESHOLD) as u32;
+        let further = self.crashes.len().saturating_sub(CRASH_THRESHOLD) as u32;
         BASE_PERIOD * 2u32.pow(further)
     }
 
     /// Returns the end of the quarantine, if the request is the cause of its crashes.
     pub(super) fn until(&self) -> Time {
-        self.ended + self.period()
+        self.last_crash + self.period()
     }
 
     /// Tells whether the case can be dropped.
@@ -42,33 +42,34 @@
     /// Crashes count for another period after a quarantine: the next one quarantines the request
     /// again.
     pub(super) fn is_over(&self, now: Time) -> bool {
-        let last = self.answered.map_or(self.ended, |answered| answered.max(self.ended));
-        let rounds = if self.ends.len() < ENDS_THRESHOLD { 1 } else { 2 };
+        let last = self.answered.map_or(self.last_crash, |answered| answered.max(self.last_crash));
+        let rounds = if self.crashes.len() < CRASH_THRESHOLD { 1 } else { 2 };
         now >= last + self.period() * rounds
     }
 
-    /// Tells whether an answer at `answered` exonerates the request from a crash at `ended`.
-    fn clears(answered: Option<Time>, ended: Time) -> bool {
-        answered.is_some_and(|answered| ended < answered + EXONERATION_WINDOW)
+    /// Tells whether an answer at `answered` exonerates the request from a crash at `crashed_at`.
+    fn clears(answered: Option<Time>, crashed_at: Time) -> bool {
+        answered.is_some_and(|answered| crashed_at < answered + EXONERATION_WINDOW)
     }
 
-    /// Adds crashes, the latest of which was at `ended`; returns whether that changed the case.
-    pub(super) fn add_ends(&mut self, ends: &[End], ended: Time) -> bool {
-        if Case::clears(self.answered, ended) {
+    /// Adds crashes, the latest of which was at `crashed_at`; returns whether that changed the case.
+    pub(super) fn add_crashes(&mut self, crashes: &[CrashId], crashed_at: Time) -> bool {
+        if Case::clears(self.answered, crashed_at) {
             return false;
         }
-        let before = self.ends.clone();
-        self.ends.extend(ends);
+        let before = self.crashes.clone();
+        self.crashes.extend(crashes);
         // Deterministic, so that all nodes keep the same ones and reports about them stop.
-        while self.ends.len() > MAX_ENDS {
-            self.ends.pop_last();
+        while self.crashes.len() > MAX_CRASHES {
+            self.crashes.pop_last();
         }
-        let is_later = before.len() == MAX_ENDS && ended > self.ended + EXONERATION_WINDOW;
-        let is_news = self.ends != before || is_later;
-        if is_news {
-            self.ended = self.ended.max(ended);
+        let is_later =
+            before.len() == MAX_CRASHES && crashed_at > self.last_crash + EXONERATION_WINDOW;
+        let is_new = self.crashes != before || is_later;
+        if is_new {
+            self.last_crash = self.last_crash.max(crashed_at);
         }
-        is_news
+        is_new
     }
 
     /// Records an answer at `answered`; returns whether that changed the case.
@@ -76,13 +77,13 @@
     /// An answer that arrives before the crashes that it clears is kept, since reports may be
     /// reordered.
     pub(super) fn answer(&mut self, answered: Time) -> bool {
-        let clears = Case::clears(Some(answered), self.ended);
+        let clears = Case::clears(Some(answered), self.last_crash);
         let is_later = self.answered.is_none_or(|known| answered > known + EXONERATION_WINDOW);
-        let is_news = if self.ends.is_empty() { is_later } else { clears };
-        if is_news {
-            self.ends.clear();
+        let is_new = if self.crashes.is_empty() { is_later } else { clears };
+        if is_new {
+            self.crashes.clear();
             self.answered = self.answered.max(Some(answered));
         }
-        is_news
+        is_new
     }
 }
--- a/crates/fleet/src/roster.rs
+++ b/crates/fleet/src/roster.rs
@@ -195,7 +195,7 @@
     /// Records that another node holds the same records: counts every rumour as transmitted to it.
     ///
     /// This drains the queue quickly after a restart of the whole fleet.
-    pub fn note_agreement(&mut self) {
+    pub fn record_agreement(&mut self) {
         self.rumours.iter_mut().for_each(|rumour| rumour.left -= 1);
         self.rumours.retain(|rumour| rumour.left > 0);
     }
--- a/crates/fleet/src/source.rs
+++ b/crates/fleet/src/source.rs
@@ -245,7 +245,7 @@
     /// Records a response on `topic` to this node, which has this rank.
     ///
     /// Returns whether the previous call failed.
-    pub fn note_success(
+    pub fn record_success(
         &mut self,
         topic: Topic,
         freshness: Freshness,
@@ -262,7 +262,7 @@
     /// Records a failed call and schedules the next one with exponential backoff and jitter.
     ///
     /// Returns whether this is the first failure in a row.
-    pub fn note_failure(&mut self, topic: Topic, now: Time, random: &mut SmallRng) -> bool {
+    pub fn record_failure(&mut self, topic: Topic, now: Time, random: &mut SmallRng) -> bool {
         let call = self.call(topic);
         let bound = (MIN_BACKOFF * 2u32.pow(call.failures.min(10))).min(MAX_BACKOFF);
         call.failures += 1;
--- a/crates/fleet/tests/catchup.rs
+++ b/crates/fleet/tests/catchup.rs
@@ -166,10 +166,10 @@
     let mut transfer = Transfer::default();
     let size = |transfer: &Transfer| transfer.pull(&fence).limit.expect("pieces are bounded");
     let usual = size(&transfer);
-    transfer.note_timeout();
+    transfer.record_timeout();
     assert_eq!(size(&transfer), usual);
-    transfer.note_timeout();
+    transfer.record_timeout();
     assert_eq!(size(&transfer), usual / 2);
-    (0..20).for_each(|_| transfer.note_timeout());
+    (0..20).for_each(|_| transfer.record_timeout());
     assert!(size(&transfer) >= 1 << 10);
 }
--- a/crates/fleet/tests/large_fleet.rs
+++ b/crates/fleet/tests/large_fleet.rs
@@ -240,7 +240,10 @@
             link_mbps: u32::MAX,
             failing: false,
             leaving: false,
-            heard_ms: BTreeMap::from([("a".to_owned(), u64::MAX), ("nowhere".to_owned(), 0)]),
+            contact_ages_ms: BTreeMap::from([
+                ("a".to_owned(), u64::MAX),
+                ("nowhere".to_owned(), 0),
+            ]),
             rumours: (0..50).flat_map(|n| [about(n), unknown(n)]).collect(),
             piggyback: Piggyback::default(),
             reports: Vec::new(),
--- a/crates/fleet/tests/leaving.rs
+++ b/crates/fleet/tests/leaving.rs
@@ -75,7 +75,7 @@
 /// peers.
 #[test]
 fn a_resumed_node_marks_no_peer_unreachable() {
-    cov_mark::check!(doubt_after_pause);
+    cov_mark::check!(suspicion_suspended_after_pause);
     let mut net = net(24);
     net.pause(5, Duration::from_secs(60));
     net.run(Duration::from_secs(61));
--- a/crates/fleet/tests/net/mod.rs
+++ b/crates/fleet/tests/net/mod.rs
@@ -543,7 +543,7 @@
         link_mbps,
         failing,
         leaving,
-        heard_ms: BTreeMap::new(),
+        contact_ages_ms: BTreeMap::new(),
         rumours: Vec::new(),
         piggyback: Piggyback::default(),
         reports: Vec::new(),
--- a/crates/fleet/tests/quarantine.rs
+++ b/crates/fleet/tests/quarantine.rs
@@ -4,7 +4,7 @@
 
 use fleet::{
     control::Event,
-    quarantine::{Change, Crash, End, Register, Report},
+    quarantine::{Change, Crash, CrashId, Register, Report},
 };
 use model::{
     request::{Fingerprint, Suspect},
@@ -29,9 +29,9 @@
     Time::from_millis(ms)
 }
 
-fn crash(end: u32, requests: &[Fingerprint]) -> Crash {
+fn crash(id: u32, requests: &[Fingerprint]) -> Crash {
     let suspect = |request: &Fingerprint| Suspect { request: *request, label: String::new() };
-    Crash { end: End(end), suspects: requests.iter().map(suspect).collect() }
+    Crash { id: CrashId(id), suspects: requests.iter().map(suspect).collect() }
 }
 
 fn converged(data_centres: &[&'static str], nodes: usize) -> Net {
@@ -44,7 +44,7 @@
 }
 
 fn crash_upstream(net: &mut Net, node: usize, requests: &[Fingerprint]) {
-    net.inject(node, Event::UpstreamEnded(crash(node as u32, requests)));
+    net.inject(node, Event::UpstreamCrashed(crash(node as u32, requests)));
 }
 
 fn is_quarantined(net: &Net, request: Fingerprint) -> bool {
@@ -131,7 +131,7 @@
     net.kill(3);
     for node in 4..40 {
         let ran: Vec<Fingerprint> = (0..8).map(|n| Fingerprint(node as u64 * 100 + n)).collect();
-        net.inject(node, Event::UpstreamEnded(crash(1_000 + node as u32, &ran)));
+        net.inject(node, Event::UpstreamCrashed(crash(1_000 + node as u32, &ran)));
     }
     net.run(500);
     net.start(3);
@@ -195,7 +195,7 @@
     for request in 0..40 {
         for number in 0..3 {
             let crash = crash(request * 3 + number, &[Fingerprint(request.into())]);
-            net.inject(number as usize * 4, Event::UpstreamEnded(crash));
+            net.inject(number as usize * 4, Event::UpstreamCrashed(crash));
         }
     }
     net.run(30_000);
@@ -210,11 +210,11 @@
 
 /// Records crashes of one request at the given minutes; compares the end of its quarantine.
 #[track_caller]
-fn check(ends: &[u64], quarantined_until: Option<u64>) {
+fn check(minutes: &[u64], quarantined_until: Option<u64>) {
     let mut register = Register::default();
-    for (number, minute) in ends.iter().enumerate() {
+    for (number, minute) in minutes.iter().enumerate() {
         let now = at(minute * MINUTE_MS);
-        register.note_end(&crash(number as u32, &[FATAL]), now);
+        register.record_crash(&crash(number as u32, &[FATAL]), now);
         register.refresh(now);
     }
     let until = register.current().until.get(&FATAL).copied();
@@ -245,10 +245,10 @@
 fn new_suspects_do_not_displace_a_quarantined_request() {
     let mut register = Register::default();
     for number in 0..3 {
-        register.note_end(&crash(number, &[FATAL]), at(0));
+        register.record_crash(&crash(number, &[FATAL]), at(0));
     }
     for number in 1_000..9_000 {
-        register.note_end(&crash(number as u32, &[Fingerprint(number)]), at(number));
+        register.record_crash(&crash(number as u32, &[Fingerprint(number)]), at(number));
     }
     register.refresh(at(9_000));
     assert!(register.current().until.contains_key(&FATAL));
@@ -260,8 +260,8 @@
 fn known_crashes_are_not_reported_as_new() {
     let (mut one, mut other) = (Register::default(), Register::default());
     for number in 0..9 {
-        one.note_end(&crash(number, &[FATAL]), at(number.into()));
-        other.note_end(&crash(number + 50, &[FATAL]), at(number.into()));
+        one.record_crash(&crash(number, &[FATAL]), at(number.into()));
+        other.record_crash(&crash(number + 50, &[FATAL]), at(number.into()));
     }
     let exchange = |from: &mut Register, to: &mut Register, now: u64| {
         let reports: Vec<Report> = from.next_reports(9, at(now));
@@ -280,10 +280,10 @@
 #[test]
 fn concurrent_requests_are_not_blamed_for_the_same_crashes() {
     let mut register = Register::default();
-    register.note_end(&crash(1, &[FATAL]), at(15));
-    register.note_end(&crash(2, &[FATAL, OTHER]), at(23));
-    register.note_end(&crash(3, &[FATAL, OTHER]), at(29));
-    register.note_end(&crash(4, &[OTHER]), at(367));
+    register.record_crash(&crash(1, &[FATAL]), at(15));
+    register.record_crash(&crash(2, &[FATAL, OTHER]), at(23));
+    register.record_crash(&crash(3, &[FATAL, OTHER]), at(29));
+    register.record_crash(&crash(4, &[OTHER]), at(367));
     register.refresh(at(367));
     let held: Vec<&Fingerprint> = register.current().until.keys().collect();
     assert_eq!(held, [&FATAL]);
@@ -292,12 +292,12 @@
 #[test]
 fn two_requests_with_the_same_crashes_are_both_quarantined_until_one_has_more() {
     let mut register = Register::default();
-    for end in 0..3 {
-        register.note_end(&crash(end, &[FATAL, OTHER]), at(0));
+    for id in 0..3 {
+        register.record_crash(&crash(id, &[FATAL, OTHER]), at(0));
     }
     register.refresh(at(0));
     assert_eq!(register.current().until.len(), 2);
-    register.note_end(&crash(3, &[FATAL]), at(10));
+    register.record_crash(&crash(3, &[FATAL]), at(10));
     let changes = register.refresh(at(10)).expect("a crash is news");
     assert_eq!(changes, [Change::Released { request: OTHER }]);
 }
@@ -306,11 +306,11 @@
 #[test]
 fn an_answer_that_arrives_before_the_crash_reports_clears_them() {
     let mut register = Register::default();
-    let ends = (0..3).map(End).collect();
-    let answer = Report { request: OTHER, ends: Vec::new(), answered: true, age_ms: 500 };
-    let ended = Report { request: OTHER, ends, answered: false, age_ms: 900 };
+    let crashes = (0..3).map(CrashId).collect();
+    let answer = Report { request: OTHER, crashes: Vec::new(), answered: true, age_ms: 500 };
+    let crashed = Report { request: OTHER, crashes, answered: false, age_ms: 900 };
     assert!(register.merge(&[answer], at(30_000)));
-    register.merge(&[ended], at(30_100));
+    register.merge(&[crashed], at(30_100));
     register.refresh(at(30_100));
     assert!(register.current().until.is_empty());
 }
@@ -319,9 +319,9 @@
 #[test]
 fn an_old_answer_clears_no_later_crash() {
     let mut register = Register::default();
-    let answered = Report { request: FATAL, ends: Vec::new(), answered: true, age_ms: 20_000 };
+    let answered = Report { request: FATAL, crashes: Vec::new(), answered: true, age_ms: 20_000 };
     for number in 0..3 {
-        register.note_end(&crash(number, &[FATAL]), at(30_000));
+        register.record_crash(&crash(number, &[FATAL]), at(30_000));
     }
     assert!(!register.merge(std::slice::from_ref(&answered), at(30_000)));
     assert!(register.merge(&[Report { age_ms: 5_000, ..answered }], at(30_000)));
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -185,7 +185,7 @@
                 Ok(digest) => client.send(Event::Digest(digest)),
                 Err(datagram::Error::Malformed { from, source }) => {
                     let reason = source.to_string();
-                    client.send(Event::Note(Kind::BadMessage { peer: from, reason }));
+                    client.send(Event::Record(Kind::BadMessage { peer: from, reason }));
                 }
                 // Keeps a persistent socket error from turning this into a busy loop.
                 Err(_) => thread::sleep(TICK_INTERVAL),
@@ -244,7 +244,7 @@
     /// Passes on crashes of the colocated upstream, and requests cleared of suspicion.
     fn apply_crashes(&mut self) {
         for crash in self.deps.proxy.take_crashes() {
-            self.apply(Event::UpstreamEnded(crash), None);
+            self.apply(Event::UpstreamCrashed(crash), None);
         }
         for request in self.deps.proxy.take_cleared() {
             self.apply(Event::Cleared(request), None);
@@ -348,7 +348,7 @@
 
     fn collect(&mut self) {
         for kind in self.deps.proxy.collect_events() {
-            self.apply(Event::Note(kind), None);
+            self.apply(Event::Record(kind), None);
         }
         self.deps.meter.set_control_cpu(crate::process::control_cpu_seconds());
         self.deps.meter.set_known_revision(self.machine.known_revision());
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -160,12 +160,12 @@
         let needs_restart = reloaded != *new;
         self.proxy.set_tuning(tuning(&reloaded));
         self.settings = reloaded;
-        self.control.send(Event::Note(Kind::Reloaded { needs_restart }));
+        self.control.send(Event::Record(Kind::Reloaded { needs_restart }));
     }
 
     /// Logs the `faults` of invalid new settings; the current settings stay in force.
     pub fn refuse_reload(&self, faults: &[String]) {
-        self.control.send(Event::Note(Kind::ReloadRefused { faults: faults.to_vec() }));
+        self.control.send(Event::Record(Kind::ReloadRefused { faults: faults.to_vec() }));
     }
 }
 
--- a/crates/peer/tests/datagram.rs
+++ b/crates/peer/tests/datagram.rs
@@ -3,7 +3,7 @@
 use fleet::{
     directory::{Entry, Standing, Update},
     message::{Digest, Piggyback, Rumour, Sender},
-    quarantine::{End, REPORTS_PER_DIGEST, REPORTS_PER_MESSAGE, Report},
+    quarantine::{CrashId, REPORTS_PER_DIGEST, REPORTS_PER_MESSAGE, Report},
 };
 use model::request::Fingerprint;
 use peer::datagram::Socket;
@@ -47,7 +47,7 @@
         link_mbps: 10,
         failing: false,
         leaving: false,
-        heard_ms: BTreeMap::new(),
+        contact_ages_ms: BTreeMap::new(),
         rumours: Vec::new(),
         piggyback: Piggyback { list: Some(Box::new(list)), config: None },
         reports: Vec::new(),
@@ -66,13 +66,13 @@
     };
     let report = |n: u64| Report {
         request: Fingerprint(u64::MAX - n),
-        ends: (0..8).map(|end| End(u32::MAX - end)).collect(),
+        crashes: (0..8).map(|id| CrashId(u32::MAX - id)).collect(),
         answered: false,
         age_ms: 36_000_000,
     };
     let data_centres = ["ktm-a", "lalitpur-b", "bhaktapur-c", "kirtipur-d"];
     Digest {
-        heard_ms: data_centres.map(|name| (name.to_owned(), 20_000)).into(),
+        contact_ages_ms: data_centres.map(|name| (name.to_owned(), 20_000)).into(),
         rumours: (0..6).map(rumour).collect(),
         reports: (0..reports).map(report).collect(),
         ..digest(5)
--- a/crates/policy/src/budget.rs
+++ b/crates/policy/src/budget.rs
@@ -33,7 +33,7 @@
 struct Bucket {
     begin: Time,
     calls: u32,
-    repeats: u32,
+    retries: u32,
 }
 
 /// Sliding window of calls and retries of one node to one service.
@@ -61,14 +61,14 @@
     pub fn try_retry(&mut self, settings: &Settings, nodes: usize, now: Time) -> bool {
         self.bucket(settings, now);
         let calls: u32 = self.buckets.iter().map(|b| b.calls).sum();
-        let repeats: u32 = self.buckets.iter().map(|b| b.repeats).sum();
+        let retries: u32 = self.buckets.iter().map(|b| b.retries).sum();
         let share = settings.slack / nodes.max(1) as f64;
         let allowed = (settings.ratio * f64::from(calls) + share) * settings.usable_share;
-        if f64::from(repeats + 1) > allowed {
+        if f64::from(retries + 1) > allowed {
             cov_mark::hit!(window_spent);
             return false;
         }
-        self.bucket(settings, now).repeats += 1;
+        self.bucket(settings, now).retries += 1;
         true
     }
 
@@ -78,7 +78,7 @@
         self.buckets.retain(|b| now.since(b.begin) < settings.window + width);
         let current = self.buckets.back().is_some_and(|b| now.since(b.begin) < width);
         if !current {
-            self.buckets.push_back(Bucket { begin: now, calls: 0, repeats: 0 });
+            self.buckets.push_back(Bucket { begin: now, calls: 0, retries: 0 });
         }
         self.buckets.back_mut().expect("a bucket was just added")
     }
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use crate::{
-    outcome::{Cause, Doubt, Outcome},
+    outcome::{Cause, Outcome, Uncertainty},
     retry::Kind,
 };
 
@@ -72,7 +72,7 @@
                 _,
             ) => Sample::Unreachable,
             Outcome::NotRun(..) => Sample::Refused,
-            Outcome::Unknown(Doubt::Timeout) => Sample::TimedOut(time),
+            Outcome::Unknown(Uncertainty::Timeout) => Sample::TimedOut(time),
             Outcome::Unknown(_) => Sample::Failed,
         }
     }
--- a/crates/policy/src/outcome.rs
+++ b/crates/policy/src/outcome.rs
@@ -44,7 +44,7 @@
 
 /// Why it is unknown whether a call was run.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-pub enum Doubt {
+pub enum Uncertainty {
     /// The connection broke after the request was sent.
     Broken,
     /// No answer arrived in time.
@@ -59,7 +59,7 @@
     /// The call was not run and may be retried after the given delay.
     NotRun(Cause, Duration),
     /// The call may or may not have been run.
-    Unknown(Doubt),
+    Unknown(Uncertainty),
 }
 
 impl Outcome {
@@ -67,7 +67,7 @@
     pub fn reason(self) -> &'static str {
         match self {
             Outcome::NotRun(cause, _) => cause.name(),
-            Outcome::Unknown(doubt) => doubt.name(),
+            Outcome::Unknown(uncertainty) => uncertainty.name(),
         }
     }
 
@@ -76,8 +76,8 @@
     /// If any attempt may have run, a later "not run" does not change that.
     ///
     /// ```
-    /// use policy::outcome::{Cause, Doubt, Outcome};
-    /// let lost = Outcome::Unknown(Doubt::Timeout);
+    /// use policy::outcome::{Cause, Uncertainty, Outcome};
+    /// let lost = Outcome::Unknown(Uncertainty::Timeout);
     /// assert_eq!(Cause::Overloaded.outcome().after(lost), lost);
     /// ```
     pub fn after(self, earlier: Outcome) -> Outcome {
@@ -141,8 +141,8 @@
 /// before it runs the call. Answer: the call was run, at least in part.
 ///
 /// ```
-/// use policy::outcome::{Doubt, Loss, Outcome, Step, of_loss};
-/// assert_eq!(of_loss(Step::Run, Loss::Closed), Outcome::Unknown(Doubt::Broken));
+/// use policy::outcome::{Uncertainty, Loss, Outcome, Step, of_loss};
+/// assert_eq!(of_loss(Step::Run, Loss::Closed), Outcome::Unknown(Uncertainty::Broken));
 /// ```
 pub fn of_loss(step: Step, loss: Loss) -> Outcome {
     let is_unclaimed = matches!(step, Step::Receive | Step::Connect | Step::Queue | Step::Dial);
@@ -150,9 +150,9 @@
         Loss::Refusal(cause) if step != Step::Answer => cause.outcome(),
         Loss::Closed | Loss::Malformed if is_unclaimed => loss_cause(step).outcome(),
         Loss::Timeout if is_unclaimed => timeout_cause(step).outcome(),
-        Loss::Closed => Outcome::Unknown(Doubt::Broken),
-        Loss::Timeout => Outcome::Unknown(Doubt::Timeout),
-        Loss::Malformed | Loss::Refusal(_) => Outcome::Unknown(Doubt::BadAnswer),
+        Loss::Closed => Outcome::Unknown(Uncertainty::Broken),
+        Loss::Timeout => Outcome::Unknown(Uncertainty::Timeout),
+        Loss::Malformed | Loss::Refusal(_) => Outcome::Unknown(Uncertainty::BadAnswer),
     }
 }
 
@@ -238,19 +238,21 @@
     }
 }
 
-impl Doubt {
+impl Uncertainty {
     /// Returns the name on the wire and in metrics.
     pub fn name(self) -> &'static str {
         match self {
-            Doubt::Broken => "broken",
-            Doubt::Timeout => "timeout",
-            Doubt::BadAnswer => "bad-answer",
+            Uncertainty::Broken => "broken",
+            Uncertainty::Timeout => "timeout",
+            Uncertainty::BadAnswer => "bad-answer",
         }
     }
 
     /// Parses a name from the wire.
-    pub fn parse(name: &str) -> Option<Doubt> {
-        [Doubt::Broken, Doubt::Timeout, Doubt::BadAnswer].into_iter().find(|d| d.name() == name)
+    pub fn parse(name: &str) -> Option<Uncertainty> {
+        [Uncertainty::Broken, Uncertainty::Timeout, Uncertainty::BadAnswer]
+            .into_iter()
+            .find(|d| d.name() == name)
     }
 }
 
@@ -260,7 +262,7 @@
     }
 }
 
-impl fmt::Display for Doubt {
+impl fmt::Display for Uncertainty {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.name())
     }
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     latency::Estimate,
-    outcome::{Cause, Doubt, Outcome},
+    outcome::{Cause, Outcome, Uncertainty},
 };
 
 /// Initial retries of a service without calls.
@@ -202,7 +202,7 @@
 }
 
 /// Outcome of an attempt without an answer so far.
-pub const TIMED_OUT: Outcome = Outcome::Unknown(Doubt::Timeout);
+pub const TIMED_OUT: Outcome = Outcome::Unknown(Uncertainty::Timeout);
 
 /// Failure share above which a missing answer is assumed lost; two lost answers in a row exceed it.
 const LOSS_THRESHOLD: f64 = 0.15;
--- a/crates/policy/src/share.rs
+++ b/crates/policy/src/share.rs
@@ -19,7 +19,7 @@
 }
 
 impl Capacity {
-    /// Tells whether a service with `own` calls in flight, out of `total` of all services, may add
+    /// Tells whether a service with `used` calls in flight, out of `total` of all services, may add
     /// one.
     ///
     /// ```
@@ -28,8 +28,8 @@
     /// assert!(!capacity.admits(51, 51));
     /// assert!(capacity.admits(0, 51));
     /// ```
-    pub fn admits(&self, own: usize, total: usize) -> bool {
-        own < self.calls.saturating_sub(total)
+    pub fn admits(&self, used: usize, total: usize) -> bool {
+        used < self.calls.saturating_sub(total)
     }
 
     /// Tells whether `more` bytes fit in addition to `held` bytes.
--- a/crates/policy/tests/health.rs
+++ b/crates/policy/tests/health.rs
@@ -2,7 +2,7 @@
 
 use policy::{
     health::Sample,
-    outcome::{Cause, Doubt, Outcome},
+    outcome::{Cause, Outcome, Uncertainty},
 };
 use std::time::Duration;
 
@@ -33,7 +33,7 @@
 
 #[test]
 fn only_a_timeout_gives_a_latency_sample() {
-    check(Outcome::Unknown(Doubt::Timeout), Sample::TimedOut(TIME));
-    check(Outcome::Unknown(Doubt::Broken), Sample::Failed);
-    check(Outcome::Unknown(Doubt::BadAnswer), Sample::Failed);
+    check(Outcome::Unknown(Uncertainty::Timeout), Sample::TimedOut(TIME));
+    check(Outcome::Unknown(Uncertainty::Broken), Sample::Failed);
+    check(Outcome::Unknown(Uncertainty::BadAnswer), Sample::Failed);
 }
--- a/crates/policy/tests/outcome.rs
+++ b/crates/policy/tests/outcome.rs
@@ -1,6 +1,6 @@
 //! Outcome of each way of losing a call at each step.
 
-use policy::outcome::{Cause, Doubt, Loss, Outcome, STEPS, Step, of_loss};
+use policy::outcome::{Cause, Loss, Outcome, STEPS, Step, Uncertainty, of_loss};
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Expected {
@@ -39,7 +39,7 @@
         assert_eq!(Cause::parse(cause).map(Cause::name), Some(cause));
     }
     for doubt in ["broken", "timeout", "bad-answer"] {
-        assert_eq!(Doubt::parse(doubt).map(Doubt::name), Some(doubt));
+        assert_eq!(Uncertainty::parse(doubt).map(Uncertainty::name), Some(doubt));
     }
     assert_eq!(Cause::parse("whatever"), None);
 }
@@ -48,7 +48,8 @@
 /// run and lost its answer.
 #[test]
 fn later_refusal_does_not_hide_an_earlier_unknown_outcome() {
-    let (lost, broken) = (Outcome::Unknown(Doubt::Timeout), Outcome::Unknown(Doubt::Broken));
+    let (lost, broken) =
+        (Outcome::Unknown(Uncertainty::Timeout), Outcome::Unknown(Uncertainty::Broken));
     let (full, late) = (Cause::Overloaded.outcome(), Cause::Late.outcome());
     assert_eq!(full.after(lost), lost);
     assert_eq!(late.after(full), late);
--- a/crates/policy/tests/retry.rs
+++ b/crates/policy/tests/retry.rs
@@ -2,7 +2,7 @@
 
 use model::time::Time;
 use policy::{
-    outcome::{Cause, Doubt, Outcome},
+    outcome::{Cause, Outcome, Uncertainty},
     retry::{Attempt, Budget, CallState, Kind, Step, decide, stop_cause},
     share::Capacity,
 };
@@ -27,9 +27,9 @@
 #[test]
 fn call_that_may_have_run_is_retried_only_if_idempotent() {
     cov_mark::check!(retry_unsafe);
-    check(Outcome::Unknown(Doubt::Broken), Step::GiveUp, Step::Retry);
-    check(Outcome::Unknown(Doubt::Timeout), Step::GiveUp, Step::Retry);
-    check(Outcome::Unknown(Doubt::BadAnswer), Step::GiveUp, Step::Retry);
+    check(Outcome::Unknown(Uncertainty::Broken), Step::GiveUp, Step::Retry);
+    check(Outcome::Unknown(Uncertainty::Timeout), Step::GiveUp, Step::Retry);
+    check(Outcome::Unknown(Uncertainty::BadAnswer), Step::GiveUp, Step::Retry);
     check(not_run(Cause::Unreachable), Step::Retry, Step::Retry);
     check(not_run(Cause::Leaving), Step::Retry, Step::Retry);
     check(not_run(Cause::Overloaded), Step::Retry, Step::Retry);
@@ -59,7 +59,7 @@
     let mut extra = 0;
     for _ in 0..calls {
         budget.earn(10);
-        let failed = attempt(Outcome::Unknown(Doubt::Timeout), Kind::Idempotent);
+        let failed = attempt(Outcome::Unknown(Uncertainty::Timeout), Kind::Idempotent);
         extra += u32::from(decide(failed, &mut budget) == Step::Retry);
     }
     assert!(extra <= calls / 10 + 10, "{extra} retries of {calls} calls");
--- a/crates/standins/src/queueing/simulation.rs
+++ b/crates/standins/src/queueing/simulation.rs
@@ -9,7 +9,7 @@
     client_retry::Attempt,
     health::{Load, Record, Sample},
     latency::Estimate,
-    outcome::{Cause, Doubt, Outcome},
+    outcome::{Cause, Outcome, Uncertainty},
     placement::Locality,
     retry::{self, Hedge, Kind},
     urgency::{self, Origin, Parent, Timing},
@@ -450,7 +450,7 @@
     /// Offers a call again after a failure or refusal, or ends it.
     fn retry_or_end(&mut self, key: CallKey, reply: Reply) {
         let outcome = match reply {
-            Reply::Failed => Outcome::Unknown(Doubt::Broken),
+            Reply::Failed => Outcome::Unknown(Uncertainty::Broken),
             Reply::Answered | Reply::Refused => Cause::Overloaded.outcome(),
         };
         if self.may_retry(key, outcome) {
--- a/crates/telemetry/src/metric.rs
+++ b/crates/telemetry/src/metric.rs
@@ -266,7 +266,7 @@
     }
 
     /// Counts a crash of the local upstream's process.
-    pub fn count_upstream_end(&self) {
+    pub fn count_upstream_crash(&self) {
         self.ends.add(1, &[]);
     }
 
--- a/crates/telemetry/tests/metrics.rs
+++ b/crates/telemetry/tests/metrics.rs
@@ -11,7 +11,7 @@
     meter.count_retry("stock");
     meter.count_refusal("full");
     meter.count_ejection("stock");
-    meter.count_upstream_end();
+    meter.count_upstream_crash();
     meter.set_quarantined(1);
     meter.set_revision(102);
     meter.set_known_revision(209);
--- a/crates/traffic/src/admission/running.rs
+++ b/crates/traffic/src/admission/running.rs
@@ -25,35 +25,35 @@
 struct Run {
     /// Number of concurrent runs with this id.
     count: usize,
-    work: Parent,
+    parent: Parent,
 }
 
 /// Keeps a request registered until dropped.
 #[derive(Debug)]
 pub(crate) struct Guard {
-    running: Registry,
+    registry: Registry,
     id: String,
 }
 
 impl Registry {
     /// Registers the request `id`, admitted with `rank`.
     pub(crate) fn begin(&self, id: &str, rank: Rank) -> Guard {
-        let run = Run { count: 0, work: Parent { rank, answered: 0 } };
+        let run = Run { count: 0, parent: Parent { rank, answered: 0 } };
         self.lock().entry(id.to_owned()).or_insert(run).count += 1;
-        Guard { running: self.clone(), id: id.to_owned() }
+        Guard { registry: self.clone(), id: id.to_owned() }
     }
 
     /// Returns the parent of the nested call `id`; `None` if no running request is its parent.
     pub(crate) fn parent_of(&self, id: &str) -> Option<Parent> {
         let (parent, _) = id.rsplit_once(SEPARATOR)?;
-        self.lock().get(parent).map(|run| run.work)
+        self.lock().get(parent).map(|run| run.parent)
     }
 
     /// Counts an answered nested call for its parent, if `id` is one.
     pub(crate) fn answered(&self, id: &str) {
         let Some((parent, _)) = id.rsplit_once(SEPARATOR) else { return };
         if let Some(run) = self.lock().get_mut(parent) {
-            run.work.answered += 1;
+            run.parent.answered += 1;
         }
     }
 
@@ -64,7 +64,7 @@
 
 impl Drop for Guard {
     fn drop(&mut self) {
-        let mut ids = self.running.lock();
+        let mut ids = self.registry.lock();
         let left = ids.get_mut(&self.id).map(|run| {
             run.count -= 1;
             run.count
--- a/crates/traffic/src/admission/running/tests.rs
+++ b/crates/traffic/src/admission/running/tests.rs
@@ -14,12 +14,12 @@
 fn only_calls_for_a_running_request_are_nested() {
     let running = Registry::default();
     check(&running, "9c41.77", false);
-    let entry = running.begin("9c41", Rank::default());
+    let guard = running.begin("9c41", Rank::default());
     check(&running, "9c41.77", true);
     check(&running, "9c41", false);
     check(&running, "9c42.77", false);
     check(&running, "9c41.77.3", false);
-    drop(entry);
+    drop(guard);
     check(&running, "9c41.77", false);
 }
 
@@ -39,10 +39,10 @@
 fn a_parent_counts_its_answered_nested_calls() {
     let running = Registry::default();
     let rank = Rank { priority: 9, ..Rank::default() };
-    let _entry = running.begin("9c41", rank);
+    let _guard = running.begin("9c41", rank);
     running.answered("9c41.77");
     running.answered("other.77");
     running.answered("9c41");
-    let work = running.parent_of("9c41.78").expect("it runs");
-    assert_eq!((work.rank, work.answered), (rank, 1));
+    let parent = running.parent_of("9c41.78").expect("it runs");
+    assert_eq!((parent.rank, parent.answered), (rank, 1));
 }
--- a/crates/traffic/src/admission/semaphore.rs
+++ b/crates/traffic/src/admission/semaphore.rs
@@ -36,7 +36,7 @@
 /// Admission state, and the channels to waiting tasks.
 #[derive(Debug)]
 struct Queue {
-    gate: Limiter,
+    limiter: Limiter,
     waiters: HashMap<Ticket, oneshot::Sender<Verdict>>,
 }
 
@@ -72,7 +72,7 @@
 
 impl Semaphore {
     pub(crate) fn new(clock: Clock, slots: usize) -> Arc<Self> {
-        let queue = Queue { gate: Limiter::new(slots), waiters: HashMap::new() };
+        let queue = Queue { limiter: Limiter::new(slots), waiters: HashMap::new() };
         Arc::new(Semaphore { clock, tickets: AtomicU64::new(0), queue: Mutex::new(queue) })
     }
 
@@ -84,8 +84,8 @@
         queue_limit: usize,
     ) -> Result<Permit, Outcome> {
         let ticket = Ticket(self.tickets.fetch_add(1, Ordering::Relaxed));
-        let (entry, verdict) = self.enqueue(ticket, rank, deadline, queue_limit);
-        let until = match entry {
+        let (decision, verdict) = self.enqueue(ticket, rank, deadline, queue_limit);
+        let until = match decision {
             Decision::Run => return Ok(self.permit(ticket)),
             Decision::Refuse(after) => return Err(Outcome::NotRun(Cause::Overloaded, after)),
             Decision::Wait(until) => until,
@@ -113,14 +113,14 @@
     pub(crate) fn set_warm_up(&self, limit: Option<Limit>, now: Time) {
         let mut queue = self.lock();
         match limit {
-            Some(limit) => queue.gate.set_warm_up(limit, now),
-            None => queue.gate.end_warm_up(),
+            Some(limit) => queue.limiter.set_warm_up(limit, now),
+            None => queue.limiter.end_warm_up(),
         }
     }
 
     /// Returns when a waiting task should check for tokens that became available without a release.
     fn next_poll(&self, now: Time) -> Time {
-        let token = self.lock().gate.next_token(now);
+        let token = self.lock().limiter.next_token(now);
         token.map_or(now + MAX_POLL_INTERVAL, |at| {
             at.max(now + MIN_POLL_INTERVAL).min(now + MAX_POLL_INTERVAL)
         })
@@ -129,7 +129,7 @@
     /// Grants free slots and tokens to waiting tasks.
     fn grant_ready(&self) {
         let mut queue = self.lock();
-        let granted = queue.gate.grant_waiting(self.clock.now());
+        let granted = queue.limiter.grant_waiting(self.clock.now());
         queue.wake(&granted);
     }
 
@@ -137,7 +137,7 @@
     pub(crate) fn reject_waiting(&self) {
         let mut queue = self.lock();
         for (ticket, waiter) in std::mem::take(&mut queue.waiters) {
-            queue.gate.cancel(ticket);
+            queue.limiter.cancel(ticket);
             // The receiver is alive: a waiting task deregisters under this lock before dropping it.
             let _ = waiter.send(Verdict::Rejected);
         }
@@ -145,22 +145,22 @@
 
     /// Returns whether a task would now be admitted or queued.
     pub(crate) fn admits(&self, rank: Rank, deadline: Time, queue_limit: usize) -> bool {
-        self.lock().gate.would_admit(rank, self.clock.now(), deadline, queue_limit)
+        self.lock().limiter.would_admit(rank, self.clock.now(), deadline, queue_limit)
     }
 
     /// Returns the number of held slots and of waiting tasks.
     pub(crate) fn load(&self) -> Load {
         let queue = self.lock();
-        Load { busy: queue.gate.busy(), waiting: queue.gate.waiting(), bodies: 0 }
+        Load { busy: queue.limiter.busy(), waiting: queue.limiter.waiting(), bodies: 0 }
     }
 
     /// Sets the number of slots and wakes tasks that fit.
     pub(crate) fn resize(&self, slots: usize) {
         let mut queue = self.lock();
-        if queue.gate.slots() == slots {
+        if queue.limiter.slots() == slots {
             return;
         }
-        let granted = queue.gate.resize(slots, self.clock.now());
+        let granted = queue.limiter.resize(slots, self.clock.now());
         queue.wake(&granted);
     }
 
@@ -178,25 +178,26 @@
     ) -> (Decision, oneshot::Receiver<Verdict>) {
         let (sender, receiver) = oneshot::channel();
         let mut queue = self.lock();
-        let entry = queue.gate.admit_ranked(ticket, rank, self.clock.now(), deadline, queue_limit);
-        if matches!(entry, Decision::Wait(_)) {
+        let decision =
+            queue.limiter.admit_ranked(ticket, rank, self.clock.now(), deadline, queue_limit);
+        if matches!(decision, Decision::Wait(_)) {
             queue.waiters.insert(ticket, sender);
         }
-        (entry, receiver)
+        (decision, receiver)
     }
 
     /// Releases the slot of `ticket` and wakes the next waiting task.
     fn finish(&self, ticket: Ticket, service_time: Option<Duration>) {
         let mut queue = self.lock();
         let now = self.clock.now();
-        let mut next = queue.gate.finish(ticket, now, service_time);
+        let mut next = queue.limiter.finish(ticket, now, service_time);
         while let Some(ticket) = next {
             // The receiver is alive: a waiting task deregisters under this lock before dropping it.
             if let Some(waiter) = queue.waiters.remove(&ticket) {
                 let _ = waiter.send(Verdict::Granted);
                 return;
             }
-            next = queue.gate.finish(ticket, now, None);
+            next = queue.limiter.finish(ticket, now, None);
         }
     }
 
@@ -204,7 +205,7 @@
     /// must then release.
     fn cancel(&self, ticket: Ticket) -> bool {
         let mut queue = self.lock();
-        queue.gate.cancel(ticket);
+        queue.limiter.cancel(ticket);
         queue.waiters.remove(&ticket).is_some()
     }
 
--- a/crates/traffic/src/admission/semaphore/tests.rs
+++ b/crates/traffic/src/admission/semaphore/tests.rs
@@ -18,12 +18,12 @@
     runtime.block_on(async {
         let clock = Clock::default();
         let semaphore = Semaphore::new(clock, 1);
-        let enter = || {
+        let acquire = || {
             let (semaphore, deadline) = (semaphore.clone(), in_a_second(clock));
             async move { semaphore.acquire(Rank::default(), deadline, QUEUE).await }
         };
-        let holder = enter().await.expect("the slot is free");
-        let waiting = [tokio::spawn(enter()), tokio::spawn(enter())];
+        let holder = acquire().await.expect("the slot is free");
+        let waiting = [tokio::spawn(acquire()), tokio::spawn(acquire())];
         while semaphore.load().waiting < waiting.len() {
             yield_now().await;
         }
@@ -35,7 +35,7 @@
         assert_eq!((semaphore.load().busy, semaphore.load().waiting), (1, 0));
         drop(holder);
         assert_eq!(semaphore.load().busy, 0);
-        enter().await.expect("the slot is free again");
+        acquire().await.expect("the slot is free again");
     });
 }
 
--- a/crates/traffic/src/entry.rs
+++ b/crates/traffic/src/entry.rs
@@ -86,6 +86,6 @@
 fn quarantined(proxy: &Proxy, call: &Call<'_>) -> Option<Outcome> {
     let outcome = proxy.quarantined(&call.payload, call.service)?;
     let request = proxy.fingerprint(&call.payload, call.service).to_string();
-    call.trace.note(&proxy.log, Step::Quarantined { request });
+    call.trace.record(&proxy.log, Step::Quarantined { request });
     Some(outcome)
 }
--- a/crates/traffic/src/entry/attempt.rs
+++ b/crates/traffic/src/entry/attempt.rs
@@ -103,7 +103,7 @@
             candidates,
         }
     });
-    call.trace.note(&proxy.log, step);
+    call.trace.record(&proxy.log, step);
 }
 
 fn trace_end(
@@ -118,7 +118,7 @@
         Err(outcome @ Outcome::NotRun(..)) => (wire::NOT_RUN, outcome.reason(), 0),
         Err(outcome @ Outcome::Unknown(_)) => (wire::UNKNOWN, outcome.reason(), 0),
     };
-    call.trace.note(
+    call.trace.record(
         &proxy.log,
         trace::Step::Attempted {
             attempt,
--- a/crates/traffic/src/entry/choice.rs
+++ b/crates/traffic/src/entry/choice.rs
@@ -5,7 +5,7 @@
 use policy::{
     choice::{self, Reach},
     health::Record,
-    outcome::{Doubt, Outcome},
+    outcome::{Outcome, Uncertainty},
     placement,
     retry::Kind,
 };
@@ -98,7 +98,8 @@
     call: &Call<'_>,
     last: Outcome,
 ) -> Option<Upstream> {
-    let timed_out = last == Outcome::Unknown(Doubt::Timeout) && call.kind() == Kind::Idempotent;
+    let timed_out =
+        last == Outcome::Unknown(Uncertainty::Timeout) && call.kind() == Kind::Idempotent;
     if timed_out { choose(proxy, call, &[]) } else { None }
 }
 
--- a/crates/traffic/src/forward/receiver.rs
+++ b/crates/traffic/src/forward/receiver.rs
@@ -33,7 +33,7 @@
     received: Time,
 ) -> Response<wire::Body> {
     let id = wire::read_number(request.headers(), wire::ID);
-    let result = take(proxy, request, origin, received).await;
+    let result = process(proxy, request, origin, received).await;
     let mut response = match result {
         Ok(answer) if answer.head.headers().contains_key(wire::TICKET) => grant_response(answer),
         Ok(answer) => answer.response(),
@@ -48,7 +48,7 @@
 }
 
 /// Receives an offer, and runs it or grants its transfer.
-async fn take(
+async fn process(
     proxy: &Arc<Proxy>,
     request: Request<Inbound>,
     origin: Probe,
--- a/crates/traffic/src/forward/sender.rs
+++ b/crates/traffic/src/forward/sender.rs
@@ -6,7 +6,7 @@
 use policy::{
     admission::Class,
     claim,
-    outcome::{Cause, Doubt, Loss, Outcome, Step, of_loss},
+    outcome::{Cause, Loss, Outcome, Step, Uncertainty, of_loss},
     placement,
     retry::Kind,
     transfer,
@@ -145,7 +145,7 @@
     let usable = matches!(result, Ok(_) | Err(Some(Outcome::NotRun(..))));
     if usable {
         proxy.pool.put(upstream.traffic, connection);
-    } else if matches!(result, Err(Some(Outcome::Unknown(Doubt::Timeout)))) {
+    } else if matches!(result, Err(Some(Outcome::Unknown(Uncertainty::Timeout)))) {
         proxy.pool.close_idle(upstream.traffic);
     }
     result
@@ -162,7 +162,7 @@
 ) -> Result<Answer, Option<Outcome>> {
     let (parts, incoming) = head.into_parts();
     if wire::read_number(&parts.headers, wire::ID) != Ok(Some(offer.id)) {
-        return Err(Some(Outcome::Unknown(Doubt::BadAnswer)));
+        return Err(Some(Outcome::Unknown(Uncertainty::BadAnswer)));
     }
     if let Some(load) = wire::read_load(&parts.headers) {
         let now = proxy.clock.now();
@@ -178,7 +178,7 @@
     match wire::outcome(&parts.headers) {
         Ok(None) => Ok(Answer { head: Response::from_parts(parts, ()), body }),
         Ok(Some(outcome)) => Err(Some(outcome)),
-        Err(wire::Malformed) => Err(Some(Outcome::Unknown(Doubt::BadAnswer))),
+        Err(wire::Malformed) => Err(Some(Outcome::Unknown(Uncertainty::BadAnswer))),
     }
 }
 
--- a/crates/traffic/src/intake/caller.rs
+++ b/crates/traffic/src/intake/caller.rs
@@ -41,7 +41,7 @@
     let mut response = match target::find(proxy, &config, &request) {
         Err(cause) => {
             let (revision, expected) = (config.version.revision, proxy.expected_revision());
-            span.trace.note(&proxy.log, Step::Unrouted { revision, expected });
+            span.trace.record(&proxy.log, Step::Unrouted { revision, expected });
             Refusal::of(cause).respond(proxy, "")
         }
         Ok(target) => {
@@ -113,7 +113,7 @@
 
 fn trace_routed(proxy: &Proxy, target: &Target<'_>, schedule: &Schedule, trace: &Trace) {
     let elapsed_ms = schedule.timing.map_or(0, |timing| timing.elapsed.as_millis() as u64);
-    trace.note(
+    trace.record(
         &proxy.log,
         Step::Routed {
             route: target.options.route.clone(),
@@ -140,7 +140,7 @@
     let names = &proxy.settings.names;
     let mut headers = head.headers;
     wire::strip(&mut headers);
-    wire::strip_claims(&mut headers, names);
+    wire::strip_reserved(&mut headers, names);
     if let (Some(name), Ok(service)) =
         (&names.caller, HeaderValue::from_str(&proxy.settings.service))
     {
--- a/crates/traffic/src/intake/refusal.rs
+++ b/crates/traffic/src/intake/refusal.rs
@@ -41,7 +41,9 @@
             proxy.meter.count_not_run(service, cause.name());
             proxy.events.add(Event::NotRun(service.to_owned(), cause));
         }
-        Outcome::Unknown(doubt) => proxy.events.add(Event::Unknown(service.to_owned(), doubt)),
+        Outcome::Unknown(uncertainty) => {
+            proxy.events.add(Event::Unknown(service.to_owned(), uncertainty))
+        }
     }
     wire::response(outcome, proxy.settings.names.precision)
 }
--- a/crates/traffic/src/intake/span.rs
+++ b/crates/traffic/src/intake/span.rs
@@ -31,7 +31,7 @@
         let text = |name| header_text(response.headers(), name).unwrap_or_default();
         let outcome = wire::known_outcome(Some(text(wire::OUTCOME)));
         let status = response.status();
-        self.trace.note(
+        self.trace.record(
             &self.proxy.log,
             Step::Ended {
                 outcome: outcome.to_owned(),
@@ -56,7 +56,7 @@
 impl Drop for Span<'_> {
     fn drop(&mut self) {
         if !self.ended {
-            self.trace.note(&self.proxy.log, Step::Abandoned { ms: self.elapsed_ms() });
+            self.trace.record(&self.proxy.log, Step::Abandoned { ms: self.elapsed_ms() });
             self.trace.write(&self.proxy.log, Interest::Notable);
         }
     }
--- a/crates/traffic/src/net/stream.rs
+++ b/crates/traffic/src/net/stream.rs
@@ -18,7 +18,7 @@
 use tokio::net::TcpStream;
 
 /// Read buffer, in bytes; trades system calls against memory per call.
-const CHUNK: usize = 16 * 1024;
+const CHUNK_BYTES: usize = 16 * 1024;
 
 /// Time after which unacknowledged bytes close a connection; leaves time for three retransmissions.
 const ACK_TIMEOUT: Duration = Duration::from_secs(1);
@@ -35,8 +35,8 @@
     /// Observes bytes that are passed to the owner.
     fn observe(&self, bytes: &[u8]);
 
-    /// Removes and returns up to `room` bytes that were read ahead; `None` if there are none.
-    fn take_prefetched(&self, room: usize) -> Option<BytesMut>;
+    /// Removes and returns up to `capacity` bytes that were read ahead; `None` if there are none.
+    fn take_prefetched(&self, capacity: usize) -> Option<BytesMut>;
 }
 
 /// A handle that inspects the socket of a stream owned elsewhere.
@@ -88,7 +88,7 @@
 
     /// Reads and discards bytes; returns `false` at the end of the stream.
     pub(crate) async fn discard(&self) -> bool {
-        let mut chunk = [0; CHUNK];
+        let mut chunk = [0; CHUNK_BYTES];
         loop {
             if self.socket.readable().await.is_err() {
                 return false;
@@ -140,15 +140,15 @@
         cx: &mut Context<'_>,
         mut target: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
-        let mut chunk = [0; CHUNK];
-        let room = target.remaining().min(CHUNK);
-        if let Some(bytes) = self.tap.as_ref().and_then(|tap| tap.take_prefetched(room)) {
+        let mut chunk = [0; CHUNK_BYTES];
+        let capacity = target.remaining().min(CHUNK_BYTES);
+        if let Some(bytes) = self.tap.as_ref().and_then(|tap| tap.take_prefetched(capacity)) {
             target.put_slice(&bytes);
             return Poll::Ready(Ok(()));
         }
         loop {
             ready!(self.socket.poll_read_ready(cx))?;
-            match self.socket.try_read(&mut chunk[..room]) {
+            match self.socket.try_read(&mut chunk[..capacity]) {
                 Ok(count) => {
                     target.put_slice(&chunk[..count]);
                     if let Some(tap) = &self.tap {
--- a/crates/traffic/src/proxy.rs
+++ b/crates/traffic/src/proxy.rs
@@ -59,7 +59,7 @@
     /// Highest known revision of the configuration, held or still to be fetched.
     expected_revision: AtomicU64,
     view: ArcSwap<View>,
-    watch: Mutex<pause::Detector>,
+    pauses: Mutex<pause::Detector>,
     ids: AtomicU64,
     pub(crate) lifecycle: Lifecycle,
     pub(crate) services: Services,
@@ -86,7 +86,7 @@
         let transfers = Transfers::new(clock, settings.link_mbps);
         let log = Log::new(clock);
         let log = if settings.log { log.enable(&settings.instance) } else { log };
-        let watch = pause::Detector::new(settings.pause, clock.now());
+        let pauses = pause::Detector::new(settings.pause, clock.now());
         Arc::new(Proxy {
             settings,
             clock,
@@ -99,7 +99,7 @@
             config: ArcSwap::default(),
             expected_revision: AtomicU64::new(0),
             view: ArcSwap::default(),
-            watch: Mutex::new(watch),
+            pauses: Mutex::new(pauses),
             ids: AtomicU64::new(1),
             slots,
             transfers,
@@ -187,7 +187,7 @@
     }
 
     /// Returns the index in `weights` of the target of the next call of the route `name`.
-    pub(crate) fn next_part(&self, name: &str, weights: &[u32]) -> Option<usize> {
+    pub(crate) fn next_target(&self, name: &str, weights: &[u32]) -> Option<usize> {
         if weights.len() == 1 {
             return Some(0);
         }
@@ -243,7 +243,7 @@
 
     /// Advances the pause detector; returns the length of a pause that ended.
     pub fn tick_pause_detector(&self) -> Option<Duration> {
-        lock(&self.watch).tick(self.clock.now())
+        lock(&self.pauses).tick(self.clock.now())
     }
 
     /// Returns the event counts since the last call, and removes expired connections and grants.
@@ -273,6 +273,6 @@
 
     /// Returns whether a request received at `received` may have waited through a pause of the process.
     pub(crate) fn may_be_stale(&self, received: Time, now: Time) -> bool {
-        lock(&self.watch).may_be_stale(received, now)
+        lock(&self.pauses).may_be_stale(received, now)
     }
 }
--- a/crates/traffic/src/proxy/colocated.rs
+++ b/crates/traffic/src/proxy/colocated.rs
@@ -44,9 +44,9 @@
     identity: Option<&str>,
     started_ms: Option<u64>,
 ) -> bool {
-    let mut own = view.iter().filter(|(_, u)| u.address == settings.address);
+    let mut listed = view.iter().filter(|(_, u)| u.address == settings.address);
     started_ms.is_some()
-        && own.any(|(_, u)| u.identity.as_deref() == identity && u.started_ms > started_ms)
+        && listed.any(|(_, u)| u.identity.as_deref() == identity && u.started_ms > started_ms)
 }
 
 /// Iterates over the entries of the colocated upstream; several if its address was reused.
--- a/crates/traffic/src/proxy/crashes.rs
+++ b/crates/traffic/src/proxy/crashes.rs
@@ -1,6 +1,6 @@
 //! Crashes of the colocated upstream, and the requests that were in flight.
 
-use fleet::quarantine::{Crash, End};
+use fleet::quarantine::{Crash, CrashId};
 use model::{
     request::{Fingerprint, Suspect},
     time::Time,
@@ -16,13 +16,13 @@
 /// Detected crashes of the colocated upstream.
 #[derive(Debug, Default)]
 pub(crate) struct Crashes {
-    runs: Mutex<History>,
+    history: Mutex<History>,
     /// Whether a probe of the upstream is in progress.
     probing: AtomicBool,
     /// The crash of the current process, once detected.
     ///
     /// Calls that broke later are attributed to the same crash, so that it is counted once.
-    current: Mutex<Option<End>>,
+    current: Mutex<Option<CrashId>>,
     /// Crashes not yet taken by the control thread.
     found: Mutex<Vec<Crash>>,
     /// Suspected requests that were answered, not yet taken by the control thread.
@@ -37,22 +37,22 @@
 
     /// Records that the upstream answered a call.
     pub(crate) fn record_answer(&self, request: Fingerprint, now: Time) {
-        lock(&self.runs).record_answer(request, now);
+        lock(&self.history).record_answer(request, now);
     }
 
     /// Records that a call to the upstream was lost.
     pub(crate) fn record_loss(&self, suspect: Suspect, loss: suspects::Loss, now: Time) {
-        lock(&self.runs).record_loss(suspect, loss, now);
+        lock(&self.history).record_loss(suspect, loss, now);
     }
 
     /// Returns whether the upstream answered any call after `since`.
     pub(crate) fn has_answered_after(&self, since: Time) -> bool {
-        lock(&self.runs).has_answered_after(since)
+        lock(&self.history).has_answered_after(since)
     }
 
     /// Returns whether any call to the upstream was lost recently.
     pub(crate) fn has_recent_loss(&self, now: Time) -> bool {
-        lock(&self.runs).has_lost(now)
+        lock(&self.history).has_lost(now)
     }
 
     /// Starts a probe of the upstream; returns `false` if one is in progress.
@@ -61,17 +61,17 @@
     }
 
     /// Records the result of a probe.
-    pub(crate) fn finish_probe(&self, has_ended: bool, now: Time) {
+    pub(crate) fn finish_probe(&self, has_crashed: bool, now: Time) {
         self.probing.store(false, Ordering::SeqCst);
-        let mut runs = lock(&self.runs);
-        if !has_ended {
+        let mut history = lock(&self.history);
+        if !has_crashed {
             self.mark_alive();
-            return runs.clear_broken();
+            return history.clear_broken();
         }
-        let suspects = runs.take_suspects(now);
+        let suspects = history.take_suspects(now);
         if !suspects.is_empty() {
-            let end = *lock(&self.current).get_or_insert_with(|| End(rand::random()));
-            lock(&self.found).push(Crash { end, suspects });
+            let id = *lock(&self.current).get_or_insert_with(|| CrashId(rand::random()));
+            lock(&self.found).push(Crash { id, suspects });
         }
     }
 
@@ -82,7 +82,7 @@
 
     /// Returns whether the upstream recently answered a call with this fingerprint.
     pub(crate) fn was_answered(&self, request: Fingerprint, now: Time) -> bool {
-        lock(&self.runs).was_answered(request, now)
+        lock(&self.history).was_answered(request, now)
     }
 
     /// Takes the suspected requests that were answered since the last call.
--- a/crates/traffic/src/proxy/quarantine.rs
+++ b/crates/traffic/src/proxy/quarantine.rs
@@ -22,9 +22,9 @@
 
     /// Takes the crashes of the colocated upstream since the last call, with the suspected requests.
     pub fn take_crashes(&self) -> Vec<Crash> {
-        let ends = self.crashes.take_found();
-        ends.iter().for_each(|_| self.meter.count_upstream_end());
-        ends
+        let crashes = self.crashes.take_found();
+        crashes.iter().for_each(|_| self.meter.count_upstream_crash());
+        crashes
     }
 
     /// Takes the suspected requests that the colocated upstream answered since the last call.
@@ -33,7 +33,7 @@
     }
 
     /// Records that the colocated upstream answered a request without a server error.
-    pub(crate) fn note_answered(&self, request: Fingerprint) {
+    pub(crate) fn record_answered(&self, request: Fingerprint) {
         self.crashes.record_answer(request, self.clock.now());
         if self.quarantine.load().suspects.contains(&request) {
             self.crashes.clear(request);
--- a/crates/traffic/src/proxy/services.rs
+++ b/crates/traffic/src/proxy/services.rs
@@ -34,7 +34,9 @@
         for (name, service) in services.iter_mut() {
             let known = view.upstreams(name);
             let is_known = |key: &Incarnation| known.iter().any(|u| Incarnation::of(u) == *key);
-            service.upstreams.retain(|life, record| is_known(life) || record.in_flight() > 0);
+            service
+                .upstreams
+                .retain(|incarnation, record| is_known(incarnation) || record.in_flight() > 0);
         }
         // Slow start begins when an upstream becomes known, not with its first call.
         for (name, service) in services.iter_mut() {
--- a/crates/traffic/src/record.rs
+++ b/crates/traffic/src/record.rs
@@ -1,6 +1,6 @@
 //! Traces the steps of each request and logs sampled traces, rate-limited.
 //!
-//! Failed and late requests are always logged, of the others one in [`SAMPLE`]; sampling is by the
+//! Failed and late requests are always logged, of the others one in [`SAMPLE_INTERVAL`]; sampling is by the
 //! request's id, so that all nodes log the same ones. Dropped lines are counted.
 
 pub(crate) mod events;
@@ -20,13 +20,13 @@
 use crate::{clock::Clock, lock::lock};
 
 /// One in this many successful requests is logged, to limit the cost in processor time.
-const SAMPLE: u64 = 32;
+const SAMPLE_INTERVAL: u64 = 32;
 
 /// Maximum log lines per second for failed and late requests.
-const NOTABLE_LINES: u32 = 400;
+const MAX_NOTABLE_LINES: u32 = 400;
 
 /// Maximum log lines per second for successful requests.
-const USUAL_LINES: u32 = 60;
+const MAX_USUAL_LINES: u32 = 60;
 
 /// Sampling class of a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -68,7 +68,7 @@
     }
 
     /// Records a step with the current time.
-    pub(crate) fn note(&self, log: &Log, step: Step) {
+    pub(crate) fn record(&self, log: &Log, step: Step) {
         self.lock().push((log.clock.now(), step));
     }
 
@@ -130,9 +130,11 @@
 
     fn admits(&self, id: &str, interest: Interest, lines: usize) -> bool {
         let (window, limit) = match interest {
-            Interest::Notable => (&self.notable, NOTABLE_LINES),
-            Interest::Usual if !xxh3_64(id.as_bytes()).is_multiple_of(SAMPLE) => return false,
-            Interest::Usual => (&self.usual, USUAL_LINES),
+            Interest::Notable => (&self.notable, MAX_NOTABLE_LINES),
+            Interest::Usual if !xxh3_64(id.as_bytes()).is_multiple_of(SAMPLE_INTERVAL) => {
+                return false;
+            }
+            Interest::Usual => (&self.usual, MAX_USUAL_LINES),
         };
         let mut window = lock(window);
         let admitted = window.take(lines as u32, limit, self.clock.now());
--- a/crates/traffic/src/record/events.rs
+++ b/crates/traffic/src/record/events.rs
@@ -3,7 +3,7 @@
 //! Under overload, one timeline entry per refused call would evict all other entries.
 
 use fleet::timeline::Kind;
-use policy::outcome::{Cause, Doubt};
+use policy::outcome::{Cause, Uncertainty};
 use std::{collections::HashMap, net::SocketAddr, sync::Mutex};
 
 use crate::lock::lock;
@@ -17,7 +17,7 @@
     /// A call to a service was not run.
     NotRun(String, Cause),
     /// The outcome of a call to a service is unknown.
-    Unknown(String, Doubt),
+    Unknown(String, Uncertainty),
     /// A call to a service was retried after this upstream failed for this reason.
     Retried(String, SocketAddr, &'static str),
     /// An upstream of a service used more than half of a call's remaining time.
@@ -50,8 +50,8 @@
 fn timeline_event(event: Event, count: u64) -> Kind {
     match event {
         Event::NotRun(service, cause) => Kind::NotRun { service, cause: cause.to_string(), count },
-        Event::Unknown(service, doubt) => {
-            Kind::Unknown { service, doubt: doubt.to_string(), count }
+        Event::Unknown(service, uncertainty) => {
+            Kind::Unknown { service, doubt: uncertainty.to_string(), count }
         }
         Event::Retried(service, peer, reason) => {
             Kind::Retried { service, peer, reason: reason.to_owned(), count }
--- a/crates/traffic/src/routing/target.rs
+++ b/crates/traffic/src/routing/target.rs
@@ -85,7 +85,7 @@
 ) -> Option<Target<'a>> {
     let route = config.route(&wire::host(request.headers()), request.uri().path())?;
     let weights: Vec<u32> = route.targets.iter().map(|t| t.weight).collect();
-    let index = proxy.next_part(&route.name, &weights)?;
+    let index = proxy.next_target(&route.name, &weights)?;
     let service = config.target(route.targets[index].service);
     let idempotent = route.spec.kind == route::Kind::Idempotent;
     let options = Options {
--- a/crates/traffic/src/serving.rs
+++ b/crates/traffic/src/serving.rs
@@ -112,7 +112,7 @@
 fn trace_claim(proxy: &Proxy, offer: &Offer, trace: &Trace, decision: &str) {
     let load = proxy.slots.load();
     let now = proxy.clock.now();
-    trace.note(
+    trace.record(
         &proxy.log,
         trace::Step::Claimed {
             attempt: offer.id,
@@ -140,7 +140,7 @@
     };
     let ms = elapsed.as_millis() as u64;
     let step = trace::Step::Ran { attempt: offer.id, outcome: outcome.to_owned(), status, ms };
-    trace.note(&proxy.log, step);
+    trace.record(&proxy.log, step);
 }
 
 /// Reserves a transfer slot for the body of an offer, if the call would be admitted.
--- a/crates/traffic/src/upstream.rs
+++ b/crates/traffic/src/upstream.rs
@@ -5,7 +5,7 @@
 
 use hyper::{Request, Response, header::HeaderValue};
 use model::profile::Profile;
-use policy::outcome::{Cause, Doubt, Loss, Outcome, Step, of_loss};
+use policy::outcome::{Cause, Loss, Outcome, Step, Uncertainty, of_loss};
 use std::{sync::Arc, time::Duration};
 use tokio::time::timeout;
 
@@ -124,7 +124,7 @@
     time: Duration,
 ) -> Result<Answer, Outcome> {
     if !matches_request(proxy, offer, &head) || !is_authentic(proxy, &head) {
-        return Err(Outcome::Unknown(Doubt::BadAnswer));
+        return Err(Outcome::Unknown(Uncertainty::BadAnswer));
     }
     let (parts, incoming) = head.into_parts();
     let body = body::receive(incoming, profile.max_answer_bytes, time).await;
--- a/crates/traffic/src/upstream/crash.rs
+++ b/crates/traffic/src/upstream/crash.rs
@@ -2,7 +2,7 @@
 
 use model::request::{Fingerprint, Suspect};
 use policy::{
-    outcome::{Doubt, Outcome},
+    outcome::{Outcome, Uncertainty},
     suspects::Loss,
 };
 use std::{sync::Arc, time::Duration};
@@ -46,12 +46,14 @@
             // An upstream may also answer with an error before it crashes, so this does not clear
             // the request.
             Ok(answer) if answer.head.status().is_server_error() => {}
-            Ok(_) => self.proxy.note_answered(self.request),
-            Err(Failure::Final(Outcome::Unknown(Doubt::Broken | Doubt::BadAnswer))) => {
+            Ok(_) => self.proxy.record_answered(self.request),
+            Err(Failure::Final(Outcome::Unknown(Uncertainty::Broken | Uncertainty::BadAnswer))) => {
                 self.record(Loss::Broken);
                 probe(self.proxy);
             }
-            Err(Failure::Final(Outcome::Unknown(Doubt::Timeout))) => self.record(Loss::Abandoned),
+            Err(Failure::Final(Outcome::Unknown(Uncertainty::Timeout))) => {
+                self.record(Loss::Abandoned)
+            }
             Err(Failure::Final(Outcome::NotRun(..)) | Failure::Unsent) => {}
         }
     }
--- a/crates/traffic/src/wire.rs
+++ b/crates/traffic/src/wire.rs
@@ -8,7 +8,7 @@
 };
 use policy::{
     health::Load,
-    outcome::{Cause, Doubt, Outcome},
+    outcome::{Cause, Outcome, Uncertainty},
 };
 use std::time::Duration;
 
@@ -158,7 +158,7 @@
 }
 
 /// Removes headers of a call that only the entry node may set.
-pub fn strip_claims(headers: &mut HeaderMap, names: &Names) {
+pub fn strip_reserved(headers: &mut HeaderMap, names: &Names) {
     headers.remove(&names.deadline);
     for name in [&names.caller, &names.identity].into_iter().flatten() {
         headers.remove(name);
@@ -177,9 +177,9 @@
             headers.insert(RETRY_AFTER_MS, number(retry_after.as_millis() as u64));
             headers.insert(header::RETRY_AFTER, seconds(retry_after, precision));
         }
-        Outcome::Unknown(doubt) => {
+        Outcome::Unknown(uncertainty) => {
             headers.insert(OUTCOME, HeaderValue::from_static(UNKNOWN));
-            headers.insert(CAUSE, HeaderValue::from_static(doubt.name()));
+            headers.insert(CAUSE, HeaderValue::from_static(uncertainty.name()));
         }
     }
     response
@@ -195,7 +195,7 @@
             let ms = text(RETRY_AFTER_MS).parse().unwrap_or(0);
             Ok(Some(Outcome::NotRun(cause, Duration::from_millis(ms))))
         }
-        UNKNOWN => Ok(Some(Outcome::Unknown(Doubt::parse(text(CAUSE)).ok_or(Malformed)?))),
+        UNKNOWN => Ok(Some(Outcome::Unknown(Uncertainty::parse(text(CAUSE)).ok_or(Malformed)?))),
         _ => Err(Malformed),
     }
 }
@@ -226,7 +226,7 @@
         Outcome::NotRun(Cause::UnknownService, _) => StatusCode::NOT_FOUND,
         Outcome::NotRun(Cause::BadRequest, _) => StatusCode::BAD_REQUEST,
         Outcome::NotRun(_, _) => StatusCode::SERVICE_UNAVAILABLE,
-        Outcome::Unknown(Doubt::Timeout) => StatusCode::GATEWAY_TIMEOUT,
+        Outcome::Unknown(Uncertainty::Timeout) => StatusCode::GATEWAY_TIMEOUT,
         Outcome::Unknown(_) => StatusCode::BAD_GATEWAY,
     }
 }
--- a/crates/traffic/tests/quarantine.rs
+++ b/crates/traffic/tests/quarantine.rs
@@ -234,7 +234,7 @@
     cluster.upstreams[0].crash();
     assert_eq!(wait_for_crash(&cluster, 0), first);
     cluster.upstreams[0].restart();
-    assert_ne!(crash_upstream(&cluster, &read).end, first.end);
+    assert_ne!(crash_upstream(&cluster, &read).id, first.id);
 }
 
 /// Guards against crashing a second upstream by a retry of a suspect.
--- a/xtask/src/bench/overload.rs
+++ b/xtask/src/bench/overload.rs
@@ -8,7 +8,7 @@
     admission::{Decision, Limiter, Ticket},
     choice::{Candidate, Reach, choose},
     health::{Record, Sample},
-    outcome::{Cause, Doubt, Outcome},
+    outcome::{Cause, Outcome, Uncertainty},
     retry::{Attempt, Budget, Kind, Step, decide},
 };
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
@@ -211,7 +211,7 @@
         let elapsed = self.now.since(call.begun);
         if self.trial.broken {
             self.records[upstream].end(self.now, Sample::Failed);
-            if self.again(Outcome::Unknown(Doubt::Broken), call.made) {
+            if self.again(Outcome::Unknown(Uncertainty::Broken), call.made) {
                 return self.offer(number);
             }
             return self.drop_call(number);
