--- a/crates/fleet/src/catchup.rs
+++ b/crates/fleet/src/catchup.rs
@@ -20,8 +20,8 @@
 /// Smallest chunk, in document bytes: about one bucket, which is not split.
 const MIN_CHUNK_BYTES: usize = 16 << 10;
 
-/// Most chunks accepted for one version, so that a peer that reports wrong bucket digests cannot
-/// keep a transfer going.
+/// Maximum number of chunks accepted for one version, so that a peer that reports wrong bucket digests
+/// cannot keep a transfer going.
 const MAX_CHUNKS: u32 = 4 * BUCKETS as u32;
 
 /// A partially received version of the configuration.
@@ -67,7 +67,7 @@
 }
 
 impl Transfer {
-    /// Tells whether no document has been received.
+    /// Returns whether no document has been received.
     pub fn is_empty(&self) -> bool {
         self.set.is_none()
     }
--- a/crates/fleet/src/control.rs
+++ b/crates/fleet/src/control.rs
@@ -45,10 +45,10 @@
 /// Timeout of an anti-entropy exchange of member records.
 const SYNC_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Least time between two anti-entropy exchanges started by this node.
+/// Minimum time between two anti-entropy exchanges started by this node.
 const SYNC_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Least time between two rounds of heartbeats that announce membership changes.
+/// Minimum time between two rounds of heartbeats that announce membership changes.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Interval of checks for expired suspicions and old tombstones.
@@ -182,7 +182,7 @@
             Event::Request(request) => self.handle_request(request, now),
             Event::Response(peer, response) => self.handle_response(peer, response, now),
             Event::Failed(peer, error) => self.handle_failure(peer, error, now),
-            // Only nodes in listed mode send digests.
+            // Only nodes in list mode send digests.
             Event::Digest(_) => {}
             Event::Source(answer) => self.handle_source(answer, now),
             Event::Record(kind) => self.record(kind, now),
@@ -357,7 +357,7 @@
 
     /// Returns a heartbeat that also contains the record of `peer` if that is not live.
     ///
-    /// Only the node itself can refute a suspicion, so it has to learn of it.
+    /// Only the node itself can refute a suspicion, so it has to receive it.
     fn heartbeat_for(&mut self, peer: SocketAddr, now: Now) -> Heartbeat {
         let mut heartbeat = self.heartbeat(now);
         let suspected = self.roster.get(peer).filter(|r| r.state != State::Live);
@@ -401,7 +401,7 @@
         }
     }
 
-    /// Reports the requests that ran when this node's upstream ended.
+    /// Reports the requests that ran when this node's upstream crashed.
     fn record_crash(&mut self, crash: Crash, now: Now) {
         self.quarantine.record_crash(&crash, now.time);
         self.record(Kind::UpstreamEnded { requests: crash.labels() }, now);
--- a/crates/fleet/src/control/fleet.rs
+++ b/crates/fleet/src/control/fleet.rs
@@ -73,7 +73,7 @@
         }
         match self.roster.get(peer).map(|r| r.state) {
             Some(State::Live) => self.set_state(peer, State::Suspect, now),
-            // A leaving node takes no work and does not come back in this incarnation.
+            // A leaving node takes no work and never returns to it in this incarnation.
             Some(State::Leaving) => self.set_state(peer, State::Gone, now),
             _ => {}
         }
--- a/crates/fleet/src/control/version.rs
+++ b/crates/fleet/src/control/version.rs
@@ -14,7 +14,7 @@
     timeline::Kind,
 };
 
-/// Most conflicting versions remembered, so that each is reported once.
+/// Maximum number of conflicting versions remembered, so that each is reported once.
 const MAX_CONFLICTS: usize = 64;
 
 impl Control {
@@ -32,7 +32,7 @@
                 self.record_contact(Topic::List, Freshness::New, now);
                 self.handle_listing(listing, now);
             }
-            // Only nodes in listed mode send this query.
+            // Only nodes in list mode send this query.
             Answer::Changes(_) => {}
             Answer::Unchanged(topic, revision) => {
                 self.record_contact(topic, Freshness::Unchanged, now);
--- a/crates/fleet/src/directory.rs
+++ b/crates/fleet/src/directory.rs
@@ -121,7 +121,7 @@
 }
 
 impl Update {
-    /// Tells whether it contains no change.
+    /// Returns whether it contains no change.
     pub fn is_empty(&self) -> bool {
         self.changes() == 0
     }
--- a/crates/fleet/src/evacuation.rs
+++ b/crates/fleet/src/evacuation.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use std::{collections::BTreeMap, ops::Not};
 
-/// Most data centres whose orders are held; bounds memory and message size.
+/// Maximum number of data centres whose orders are held; bounds memory and message size.
 pub const MAX_ORDERS: usize = 256;
 
 /// The latest order for one data centre.
@@ -34,7 +34,7 @@
 }
 
 impl Orders {
-    /// Tells whether `data_centre` is evacuated.
+    /// Returns whether `data_centre` is evacuated.
     ///
     /// ```
     /// use fleet::evacuation::{Order, Orders};
--- a/crates/fleet/src/fence.rs
+++ b/crates/fleet/src/fence.rs
@@ -15,7 +15,7 @@
     status,
 };
 
-/// Most rejected versions remembered.
+/// Maximum number of rejected versions remembered.
 const MAX_REJECTIONS: usize = 16;
 
 /// A version that failed validation.
@@ -83,12 +83,12 @@
 
     /// Replaces the observed revision by the highest one that reachable nodes report.
     ///
-    /// The only holder of a version may have stopped; callers must not be told to wait for it.
+    /// The only holder of a version may have stopped; callers must not be asked to wait for it.
     pub fn reset_observed(&mut self, revision: u64) {
         self.observed = revision;
     }
 
-    /// Tells whether a version with `revision` was rejected.
+    /// Returns whether a version with `revision` was rejected.
     pub fn has_rejected(&self, revision: u64) -> bool {
         self.rejected.iter().any(|r| r.version.revision == revision)
     }
--- a/crates/fleet/src/listed.rs
+++ b/crates/fleet/src/listed.rs
@@ -376,7 +376,7 @@
         self.effects.push(Effect::Gossip(targets, digest));
     }
 
-    /// Returns a digest of this node's own state, without rumours, changes or reports.
+    /// Returns a digest of this node's state, without rumours, changes or reports.
     fn digest(&self, now: Now) -> Digest {
         Digest {
             from: Sender { address: self.settings.address, incarnation: self.settings.incarnation },
--- a/crates/fleet/src/listed/partition.rs
+++ b/crates/fleet/src/listed/partition.rs
@@ -1,7 +1,8 @@
 //! Detects unreachable data centres in fleets too large for every node to gossip with every other.
 //!
-//! Digests of all nodes of a data centre count together, and nodes exchange the age of their own last
-//! contact with each. Ages received from others are not passed on: they would circulate without growing older.
+//! Digests of all nodes of a data centre count together, and nodes exchange the age of their last
+//! direct contact with each. Ages received from others are not passed on: they would circulate without
+//! growing older.
 
 use model::time::Time;
 use std::{collections::BTreeMap, time::Duration};
@@ -9,11 +10,11 @@
 /// Time without contact of any node after which a data centre counts as unreachable.
 const CONTACT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Maximum age of the last contact within the own data centre for a verdict on others. A node without it
+/// Maximum age of the last contact within the local data centre for a verdict on others; a node without it
 /// is cut off itself, or its process was stalled.
 const MAX_OWN_CONTACT_AGE: Duration = Duration::from_millis(600);
 
-/// Minimum number of other nodes of the own data centre per remote one for a verdict; with fewer, random
+/// Minimum number of other nodes of the local data centre per remote one for a verdict; with fewer, random
 /// target selection alone can exceed [`CONTACT_TIMEOUT`].
 const MIN_OBSERVERS_PER_DATA_CENTRE: usize = 4;
 
@@ -65,7 +66,7 @@
         self.contacts.values_mut().for_each(|contact| contact.any = now);
     }
 
-    /// Returns the age of this node's own last contact with each data centre but `local`, in ms.
+    /// Returns the age of this node's last direct contact with each data centre but `local`, in ms.
     pub(super) fn ages_ms(&self, local: &str, now: Time) -> BTreeMap<String, u64> {
         let others = self.contacts.iter().filter(|(data_centre, _)| *data_centre != local);
         others
--- a/crates/fleet/src/listed/peers.rs
+++ b/crates/fleet/src/listed/peers.rs
@@ -21,7 +21,7 @@
     source,
 };
 
-/// Gossip rounds without a digest of a node after which it counts as silent; tolerates lost datagrams.
+/// Gossip rounds without a digest of a node after which it counts as unreachable; tolerates lost datagrams.
 const MISSED_ROUNDS: u32 = 4;
 
 /// Margin added to [`MISSED_ROUNDS`] for scheduling delays on a loaded node.
@@ -31,10 +31,11 @@
 /// case the digest of the next incarnation was missed.
 const LEAVING_TTL: Duration = Duration::from_secs(10);
 
-/// Maximum number of nodes of the own data centre that get changes at once; they forward them to the rest.
+/// Maximum number of nodes of the local data centre that get changes at once; they forward them to the
+/// rest.
 const MAX_NEAR_FANOUT: usize = 64;
 
-/// How long a node stays in the table after it was last listed or heard.
+/// How long a node stays in the table after it was last listed or sent a digest.
 ///
 /// A node that restarts during a platform outage learns of its peers only from their digests.
 const RETENTION: Duration = Duration::from_secs(60);
@@ -45,9 +46,9 @@
 /// How likely a node is to answer a pull.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(super) enum Health {
-    /// Failed recently; not to be asked.
+    /// Failed recently; gets no pull.
     Excluded,
-    /// Silent, or failed within the suspicion period.
+    /// Unreachable, or failed within the suspicion period.
     Suspect,
     /// No known failure.
     Good,
@@ -76,7 +77,7 @@
     claim: Option<Claim>,
 }
 
-/// The latest rumour about a node that is newer than its own last digest.
+/// The latest rumour about a node that is newer than its last digest.
 #[derive(Clone, Copy, Debug)]
 struct Claim {
     rumour: Rumour,
@@ -92,8 +93,8 @@
         Rumour { of: digest.from, leaving: digest.leaving }
     }
 
-    /// Returns whether this is newer than `other` about the same node: by incarnation, then by leaving, which
-    /// is final within an incarnation.
+    /// Returns whether this is newer than `other` about the same node: by incarnation, then by leaving,
+    /// which is final within an incarnation.
     fn supersedes(&self, other: &Rumour) -> bool {
         (self.of.incarnation, self.leaving) > (other.of.incarnation, other.leaving)
     }
@@ -105,7 +106,7 @@
         Peer { digest: None, received_at: now, listed: now, near, weight, claim: None }
     }
 
-    /// Returns the node's latest status and its time: from a confirmed rumour, or else from its own digest.
+    /// Returns the node's latest status and its time: from a confirmed rumour, or else from its digest.
     fn last_status(&self) -> Option<(Rumour, Time)> {
         let claimed = self.claim.and_then(|claim| Some((claim.rumour, claim.confirmed?)));
         let own = || Some((Rumour::of(self.digest.as_ref()?), self.received_at));
@@ -116,11 +117,11 @@
 /// Verdict of the failure detector on a node.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Liveness {
-    /// Heard within the silence limit, or never heard so far.
+    /// Sent a digest within the timeout, or none so far.
     Alive,
     /// Announced that it accepts no more work.
     Leaving,
-    /// Heard before, and not within the silence limit.
+    /// Sent a digest before, but none within the timeout.
     Unreachable,
 }
 
@@ -194,7 +195,7 @@
         rounds::is_full_mesh(self.peers.len())
     }
 
-    /// Returns the number of data centres with a node that sent a digest, and the own one.
+    /// Returns the number of data centres with a node that sent a digest, including the local one.
     pub(super) fn data_centres(&self) -> usize {
         let digests = self.peers.values().filter_map(|peer| peer.digest.as_ref());
         let others = digests.map(|d| d.data_centre.as_str());
@@ -240,7 +241,7 @@
         peer.received_at = now;
         peer.near = near;
         peer.digest = Some(digest);
-        // The node's own digest overrides rumours about it.
+        // The node's digest overrides rumours about it.
         peer.claim = None;
         if before.is_some_and(|before| before != status) && !self.is_full_mesh() {
             self.rumours.add(status);
@@ -292,7 +293,7 @@
         self.partitions.resume(now);
     }
 
-    /// Removes nodes that were neither listed nor heard within [`RETENTION`].
+    /// Removes nodes that were neither listed nor sent a digest within [`RETENTION`].
     pub(super) fn prune(&mut self, now: Time) {
         self.peers
             .retain(|_, p| now.since(p.listed) < RETENTION || now.since(p.received_at) < RETENTION);
@@ -314,7 +315,7 @@
         if status.leaving && age < LEAVING_TTL { Liveness::Leaving } else { Liveness::Alive }
     }
 
-    /// Returns the time without a digest after which a node counts as silent.
+    /// Returns the time without a digest after which a node counts as unreachable.
     fn digest_timeout(&self, near: bool) -> Duration {
         let nodes = self.peers.len();
         let group = if near { self.near } else { nodes.saturating_sub(self.near) };
@@ -335,7 +336,7 @@
         self.peers.iter().filter(|(address, peer)| before(address, peer)).count()
     }
 
-    /// Returns the additional time that news of a platform contact takes beyond full-mesh gossip.
+    /// Returns the additional time that a platform contact takes to propagate beyond full-mesh gossip.
     pub(super) fn propagation_delay(&self) -> Duration {
         rounds::propagation_delay(self.peers.len())
     }
@@ -347,8 +348,8 @@
         self.rounds.next_targets(self.peers.iter().map(target), now, random)
     }
 
-    /// Returns the targets for changes read from the platform: nodes of the own data centre, and up to `far`
-    /// random nodes of each other one.
+    /// Returns the targets for changes read from the platform: nodes of the local data centre, and up
+    /// to `far` random nodes of each other one.
     pub(super) fn fanout(&self, far: usize, random: &mut SmallRng) -> Vec<SocketAddr> {
         let mut near = Vec::new();
         let mut others: BTreeMap<&str, Vec<SocketAddr>> = BTreeMap::new();
@@ -380,8 +381,8 @@
 
     /// Returns up to `count` random nodes to forward changes to.
     ///
-    /// Beyond a full mesh only nodes of the own data centre, to limit traffic between data centres; readers
-    /// send the change to every data centre.
+    /// Beyond a full mesh only nodes of the local data centre, to limit traffic between data centres;
+    /// readers send the change to every data centre.
     pub(super) fn forward_targets(&self, count: usize, random: &mut SmallRng) -> Vec<SocketAddr> {
         let any_data_centre = self.is_full_mesh() || self.near == 0;
         let target = |(address, peer): (&SocketAddr, &Peer)| {
@@ -393,8 +394,8 @@
         all
     }
 
-    /// Picks a node whose revision by `revision_of` exceeds `held`, by [`Score`]: healthy nodes before others,
-    /// then the own data centre, then fast links.
+    /// Picks a node whose revision by `revision_of` exceeds `held`, by [`Score`]: healthy nodes before
+    /// others, then the local data centre, then fast links.
     ///
     /// Ties are broken at random, to spread the load of a mass restart.
     pub(super) fn pick_ahead(
--- a/crates/fleet/src/listed/pull.rs
+++ b/crates/fleet/src/listed/pull.rs
@@ -11,7 +11,7 @@
     message::{Digest, Fetch, Request},
 };
 
-/// Timeout of a pull; allows a second peer to be asked before a change must be in force. Larger transfers
+/// Timeout of a pull; allows a pull from a second peer before a change must be in force. Larger transfers
 /// are split into chunks, see [`crate::catchup`].
 pub(super) const TIMEOUT: Duration = Duration::from_millis(1_000);
 
@@ -20,8 +20,8 @@
 
 /// How long nodes without a recent failure are preferred over one that did not answer.
 ///
-/// Longer than [`TIMEOUT`] and [`EXCLUSION`] together: otherwise two silent nodes with fast links would
-/// alternate, and nodes of other data centres would never be asked.
+/// Longer than [`TIMEOUT`] and [`EXCLUSION`] together: otherwise two unresponsive nodes with fast links
+/// would alternate, and nodes of other data centres would get no pull.
 const SUSPICION: Duration = Duration::from_secs(5);
 
 /// Pull state of one resource; at most one pull is in flight.
@@ -41,7 +41,7 @@
 pub(super) struct Pulls {
     pub(super) config: Slot,
     pub(super) list: Slot,
-    /// Whether the next pull of the list asks for a full copy.
+    /// Whether the next pull of the list requests a full copy.
     pub(super) full_list: bool,
 }
 
--- a/crates/fleet/src/listed/reports.rs
+++ b/crates/fleet/src/listed/reports.rs
@@ -47,7 +47,8 @@
         self.effects.push(Effect::Quarantine(self.quarantine.current().clone()));
     }
 
-    /// Sends the quarantined requests to a node that has just started; its first request may be one of them.
+    /// Sends the quarantined requests to a node that has just started; its first request may be one of
+    /// them.
     pub(super) fn send_reports_to_joiner(&mut self, node: SocketAddr, now: Now) {
         let held = self.quarantine.joiner_reports(now.time);
         self.send_reports(vec![node], held, now);
--- a/crates/fleet/src/listed/rounds.rs
+++ b/crates/fleet/src/listed/rounds.rs
@@ -20,7 +20,7 @@
 /// Maximum number of peers of a full mesh.
 const MAX_FULL_MESH: usize = DIGESTS_PER_SECOND * MAX_ROUND.as_secs() as usize;
 
-/// Digests per slice to nodes of the own data centre, beyond a full mesh.
+/// Digests per slice to nodes of the local data centre, beyond a full mesh.
 const NEAR_PER_SLICE: usize = 3;
 
 /// Slices per digest to a node of another data centre, beyond a full mesh; limits traffic between data
@@ -81,7 +81,7 @@
 }
 
 /// Returns the time within which each of `group` peers, out of `nodes` in all, sends this node a digest;
-/// `near` states whether the group is the own data centre.
+/// `near` states whether the group is the local data centre.
 pub(super) fn round_time(nodes: usize, group: usize, near: bool) -> Duration {
     if is_full_mesh(nodes) {
         return full_mesh_round(nodes, DIGESTS_PER_SECOND);
--- a/crates/fleet/src/listed/watch.rs
+++ b/crates/fleet/src/listed/watch.rs
@@ -32,7 +32,8 @@
     pub outage: Duration,
     /// Initial upper bound of the backoff after a failed call; doubles up to `max_backoff`.
     pub min_backoff: Duration,
-    /// Largest upper bound of the backoff; below the time in which upstreams register again after an outage.
+    /// Largest upper bound of the backoff; below the time in which upstreams register again after an
+    /// outage.
     pub max_backoff: Duration,
 }
 
@@ -91,8 +92,8 @@
         self.settings.readers.div_ceil(data_centres.max(1))
     }
 
-    /// Returns whether an idle node of `rank` in its data centre calls the platform. News of a contact takes
-    /// up to `propagation_delay` longer than in a full mesh.
+    /// Returns whether an idle node of `rank` in its data centre calls the platform. A contact takes
+    /// up to `propagation_delay` longer to propagate than in a full mesh.
     pub(super) fn should_call(
         &self,
         rank: usize,
@@ -156,8 +157,8 @@
 
     /// Records that the platform answered a node, and whether that ends an outage.
     ///
-    /// Contacts of other nodes count too, so that the grace period of removals also applies on nodes that did
-    /// not call during the outage.
+    /// Contacts of other nodes count too, so that the grace period of removals also applies on nodes
+    /// that did not call during the outage.
     fn record_contact(&mut self, at: Time) {
         if self.contact.is_some_and(|contact| at.since(contact) > self.settings.outage) {
             self.recovered_at = Some(at);
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -30,12 +30,12 @@
 }
 
 impl State {
-    /// Tells whether an incarnation never leaves this state.
+    /// Returns whether an incarnation never leaves this state.
     pub fn is_final(self) -> bool {
         matches!(self, State::Leaving | State::Gone)
     }
 
-    /// Tells whether a node in this state gets new work.
+    /// Returns whether a node in this state gets new work.
     pub fn takes_work(self) -> bool {
         self <= State::Suspect
     }
@@ -71,7 +71,7 @@
 }
 
 impl Record {
-    /// Tells whether this record replaces `other`, a record of the same address.
+    /// Returns whether this record replaces `other`, a record of the same address.
     ///
     /// A higher incarnation wins. Within one incarnation, a final state wins over any other, so
     /// that a delayed "live" cannot revive a leaving node. Otherwise the higher sequence wins, then
--- a/crates/fleet/src/message.rs
+++ b/crates/fleet/src/message.rs
@@ -96,7 +96,7 @@
     pub have: Option<u64>,
 }
 
-/// Gossip digest of a node in listed mode; sent periodically, without a reply.
+/// Gossip digest of a node in list mode; sent periodically, without a reply.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Digest {
     /// The sender.
@@ -161,7 +161,7 @@
 }
 
 impl Piggyback {
-    /// Tells whether it contains no changes.
+    /// Returns whether it contains no changes.
     pub fn is_empty(&self) -> bool {
         self.list.is_none() && self.config.is_none()
     }
--- a/crates/fleet/src/probe.rs
+++ b/crates/fleet/src/probe.rs
@@ -1,4 +1,4 @@
-//! Failure detector: probe order, and how far this node trusts its own probes.
+//! Failure detector: probe order, and how far this node trusts its probes.
 //!
 //! As in Lifeguard's local health, each failed probe raises a score and each answer lowers it. A high
 //! score extends the suspicion timeout, so that a paused or disconnected node does not declare all others
@@ -84,7 +84,7 @@
         now >= self.grace_until
     }
 
-    /// Records that this process was paused: its next failed probes are probably its own fault.
+    /// Records that this process was paused: the pause probably causes its next failed probes.
     pub fn record_pause(&mut self, now: Time) {
         cov_mark::hit!(suspicion_suspended_after_pause);
         self.grace_until = now + RESUME_GRACE;
--- a/crates/fleet/src/quarantine.rs
+++ b/crates/fleet/src/quarantine.rs
@@ -27,22 +27,22 @@
 /// which the same outage may affect.
 pub const CRASH_THRESHOLD: usize = 3;
 
-/// Most requests tracked, at some 150 bytes each.
+/// Maximum number of requests tracked, at some 150 bytes each.
 const MAX_CASES: usize = 512;
 
-/// Most reports in a gossip digest, which is one datagram.
+/// Maximum number of reports in a gossip digest, which is one datagram.
 pub const REPORTS_PER_DIGEST: usize = 3;
 
-/// Most reports in a heartbeat, or in a digest that is sent for the reports only.
+/// Maximum number of reports in a heartbeat, or in a digest that is sent for the reports only.
 pub const REPORTS_PER_MESSAGE: usize = 6;
 
-/// Most quarantined requests that a node sends to a node that has just started.
+/// Maximum number of quarantined requests that a node sends to a node that has just started.
 const MAX_JOINER_REPORTS: usize = 60;
 
 /// Digests in which a node sends a changed report.
 const TRANSMISSIONS: u32 = 6;
 
-/// The same for a request with one crash: most of these are not the cause.
+/// The same for a request with one crash, which is rarely its cause.
 const FIRST_CRASH_TRANSMISSIONS: u32 = 2;
 
 /// Identifier of one crash of an upstream process, chosen at random by its node.
@@ -88,7 +88,8 @@
 pub struct Quarantine {
     /// Quarantined requests, and until when.
     pub until: HashMap<Fingerprint, Time>,
-    /// All requests with crashes, including the quarantined ones; their answers are to be reported.
+    /// All requests that ran during a crash, including the quarantined ones; their answers are to be
+    /// reported.
     pub suspects: HashSet<Fingerprint>,
 }
 
--- a/crates/fleet/src/quarantine/case.rs
+++ b/crates/fleet/src/quarantine/case.rs
@@ -5,7 +5,7 @@
 
 use crate::quarantine::{CRASH_THRESHOLD, CrashId};
 
-/// Most crashes kept; later ones only restart the quarantine.
+/// Maximum number of crashes kept; later ones only restart the quarantine.
 const MAX_CRASHES: usize = 8;
 
 /// Length of a quarantine after [`CRASH_THRESHOLD`] crashes, from the last one; doubled for each
@@ -37,7 +37,7 @@
         self.last_crash + self.period()
     }
 
-    /// Tells whether the case can be dropped.
+    /// Returns whether the case can be dropped.
     ///
     /// Crashes count for another period after a quarantine: the next one quarantines the request
     /// again.
@@ -47,7 +47,7 @@
         now >= last + self.period() * rounds
     }
 
-    /// Tells whether an answer at `answered` exonerates the request from a crash at `crashed_at`.
+    /// Returns whether an answer at `answered` exonerates the request from a crash at `crashed_at`.
     fn clears(answered: Option<Time>, crashed_at: Time) -> bool {
         answered.is_some_and(|answered| crashed_at < answered + EXONERATION_WINDOW)
     }
--- a/crates/fleet/src/roster.rs
+++ b/crates/fleet/src/roster.rs
@@ -13,7 +13,7 @@
     message::BUCKETS,
 };
 
-/// Most records in one heartbeat.
+/// Maximum number of records in one heartbeat.
 pub const RUMOURS_PER_HEARTBEAT: usize = 6;
 
 /// Records after which an anti-entropy response takes in no further bucket.
@@ -22,7 +22,7 @@
 /// Transmissions of a rumour per binary logarithm of the fleet size.
 const RUMOUR_FACTOR: u32 = 2;
 
-/// Most stopped nodes that are remembered, so that delayed records cannot revive them.
+/// Maximum number of stopped nodes that are remembered, so that delayed records cannot revive them.
 const MAX_TOMBSTONES: usize = 4_096;
 
 /// A record and when its state was entered here.
--- a/crates/fleet/src/source.rs
+++ b/crates/fleet/src/source.rs
@@ -26,7 +26,7 @@
 /// Added to [`STANDBY_DELAY`] for each further rank.
 const STANDBY_DELAY_STEP: Duration = Duration::from_millis(500);
 
-/// Most ranks counted for [`STANDBY_DELAY_STEP`].
+/// Maximum number of ranks counted for [`STANDBY_DELAY_STEP`].
 const MAX_STANDBY_STEPS: u32 = 40;
 
 /// Pause after a response without changes.
@@ -232,7 +232,7 @@
         }
     }
 
-    /// Tells whether a call on `topic` is due, and marks it as in flight.
+    /// Returns whether a call on `topic` is due, and marks it as in flight.
     pub fn begin(&mut self, topic: Topic, now: Time) -> bool {
         let call = self.call(topic);
         if call.in_flight || now < call.due {
@@ -283,11 +283,11 @@
         };
         let replaces = match self.contact {
             None => true,
-            Some(own) => {
+            Some(known) => {
                 let fresh = |seen: Observation| now.since(seen.at) < STANDBY_DELAY;
-                match (fresh(own), fresh(observed)) {
-                    (true, true) if own.rank != observed.rank => observed.rank < own.rank,
-                    _ => observed.at > own.at,
+                match (fresh(known), fresh(observed)) {
+                    (true, true) if known.rank != observed.rank => observed.rank < known.rank,
+                    _ => observed.at > known.at,
                 }
             }
         };
--- a/crates/fleet/src/status.rs
+++ b/crates/fleet/src/status.rs
@@ -21,7 +21,7 @@
     pub incarnation: u64,
     /// Product version.
     pub product: String,
-    /// Its own state.
+    /// Its state.
     pub state: State,
     /// Configuration version in force.
     pub version: Version,
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -166,7 +166,7 @@
         Decision::Wait(until)
     }
 
-    /// Tells whether a call of `rank` would get a slot or a place in the queue.
+    /// Returns whether a call of `rank` would get a slot or a place in the queue.
     pub fn would_admit(&self, rank: Rank, now: Time, deadline: Time, queue_limit: usize) -> bool {
         if self.busy < self.slots && self.token_wait(1, now).is_zero() {
             return true;
--- a/crates/policy/src/choice.rs
+++ b/crates/policy/src/choice.rs
@@ -1,6 +1,6 @@
 //! Power-of-two-choices load balancing at the entry node.
 //!
-//! Of two random upstreams, the one with less expected work (own calls in flight times mean
+//! Of two random upstreams, the one with less expected work (this node's calls in flight times mean
 //! latency) is taken; a global minimum would send all entry nodes to the same upstream.
 
 use model::time::Time;
--- a/crates/policy/src/client_retry.rs
+++ b/crates/policy/src/client_retry.rs
@@ -1,7 +1,7 @@
 //! Recognizes retries by refused callers, which go before first attempts, by request fingerprint.
 //!
 //! A retry has a new request id and connection, and callers start with different timeouts, so
-//! neither tells them apart. Identical concurrent requests may be confused, which is harmless.
+//! neither identifies a caller. Identical concurrent requests may be confused, which is harmless.
 
 use model::{request::Fingerprint, time::Time};
 use std::{
@@ -90,7 +90,7 @@
         self.entries.len()
     }
 
-    /// Tells whether no refusal is remembered.
+    /// Returns whether no refusal is remembered.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -1,6 +1,6 @@
 //! Passive health of an upstream at an entry node: outlier ejection, probation and slow start.
 //!
-//! It uses only the outcomes of own calls and the load reported with answers.
+//! It uses only the outcomes of the node's calls and the load reported with answers.
 
 use model::time::Time;
 use std::time::Duration;
@@ -224,12 +224,12 @@
         }
     }
 
-    /// Tells whether the upstream is ejected at `now`.
+    /// Returns whether the upstream is ejected at `now`.
     pub fn is_ejected(&self, now: Time) -> bool {
         now < self.ejected_until
     }
 
-    /// Tells whether the upstream may get a call of `kind` at `now`.
+    /// Returns whether the upstream may get a call of `kind` at `now`.
     ///
     /// On probation after an ejection, an upstream gets one idempotent call at a time until it
     /// answers one: if it is still unresponsive, that costs latency but leaves no outcome unknown.
@@ -254,7 +254,7 @@
         self.ejected_until
     }
 
-    /// Returns the number of own calls in flight.
+    /// Returns the number of this node's calls in flight.
     pub fn in_flight(&self) -> usize {
         self.in_flight
     }
--- a/crates/policy/src/outcome.rs
+++ b/crates/policy/src/outcome.rs
@@ -1,6 +1,6 @@
 //! Outcomes of a call, and the outcome that each kind of loss leads to.
 //!
-//! Callers repeat a non-idempotent call only if told that it was not run.
+//! Callers retry a non-idempotent call only after the outcome "not run", which must therefore be proven.
 
 use std::{fmt, time::Duration};
 
@@ -53,7 +53,7 @@
     BadAnswer,
 }
 
-/// Outcome that the caller of an unanswered call is told.
+/// Outcome that is reported for a call without an answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Outcome {
     /// The call was not run and may be retried after the given delay.
@@ -63,7 +63,7 @@
 }
 
 impl Outcome {
-    /// Returns the name of the cause or doubt on the wire.
+    /// Returns the name of the cause or uncertainty on the wire.
     pub fn reason(self) -> &'static str {
         match self {
             Outcome::NotRun(cause, _) => cause.name(),
--- a/crates/policy/src/pause.rs
+++ b/crates/policy/src/pause.rs
@@ -62,7 +62,7 @@
         Some(gap)
     }
 
-    /// Tells whether a request whose head was read at `received` may have waited during a pause.
+    /// Returns whether a request whose head was read at `received` may have waited during a pause.
     ///
     /// Other threads may resume before the one that ticks, so an overdue tick counts as a pause.
     /// Requests read before the pause are not affected: their deadlines were already fixed.
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -162,7 +162,7 @@
 /// Upper bound of serving nodes that one call is offered to.
 const MAX_OFFERS: usize = 4;
 
-/// Tells whether a call with so many offers may be offered once more.
+/// Returns whether a call with so many offers may be offered once more.
 ///
 /// ```
 /// use policy::retry::may_offer;
@@ -173,7 +173,7 @@
     offers < MAX_OFFERS
 }
 
-/// Tells whether the call may have reached the upstream.
+/// Returns whether the call may have reached the upstream.
 pub fn may_have_reached_upstream(outcome: Outcome) -> bool {
     match outcome {
         Outcome::NotRun(cause, _) => matches!(cause, Cause::Refused | Cause::Replaced),
@@ -207,7 +207,7 @@
 /// Failure share above which a missing answer is assumed lost; two lost answers in a row exceed it.
 const LOSS_THRESHOLD: f64 = 0.15;
 
-/// Least time given to an upstream that loses answers, as a multiple of the mean latency.
+/// Minimum time given to an upstream that loses answers, as a multiple of the mean latency.
 const MIN_LOSS_FACTOR: f64 = 1.5;
 
 /// State of a first attempt that may be hedged.
@@ -267,7 +267,7 @@
     Once,
 }
 
-/// Tells whether another upstream may accept the call.
+/// Returns whether another upstream may accept the call.
 fn is_retryable(cause: Cause) -> bool {
     match cause {
         Cause::Overloaded
@@ -289,7 +289,7 @@
     }
 }
 
-/// Tells whether the failed attempt may have put load on the service.
+/// Returns whether the failed attempt may have put load on the service.
 ///
 /// Attempts that did not reach an upstream, or that its node refused, are retried without the
 /// budget.
--- a/crates/policy/src/share.rs
+++ b/crates/policy/src/share.rs
@@ -19,7 +19,7 @@
 }
 
 impl Capacity {
-    /// Tells whether a service with `used` calls in flight, out of `total` of all services, may add
+    /// Returns whether a service with `used` calls in flight, out of `total` of all services, may add
     /// one.
     ///
     /// ```
@@ -32,7 +32,7 @@
         used < self.calls.saturating_sub(total)
     }
 
-    /// Tells whether `more` bytes fit in addition to `held` bytes.
+    /// Returns whether `more` bytes fit in addition to `held` bytes.
     pub fn fits(&self, held: usize, more: usize) -> bool {
         held.saturating_add(more) <= self.bytes
     }
--- a/crates/policy/src/suspects.rs
+++ b/crates/policy/src/suspects.rs
@@ -1,4 +1,4 @@
-//! Finds the requests that may have crashed the local upstream (poison requests).
+//! Finds the requests that may have crashed the colocated upstream (poison requests).
 //!
 //! A crash breaks all calls in flight at once, including the one that caused it. A single broken
 //! call is a lost connection or a malformed answer.
@@ -32,7 +32,7 @@
     Abandoned,
 }
 
-/// Recently ended calls of the local upstream.
+/// Recently finished calls of the colocated upstream.
 #[derive(Debug, Default)]
 pub struct History {
     lost: VecDeque<(Time, Loss, Suspect)>,
@@ -67,17 +67,17 @@
         self.lost.push_back((now, loss, suspect));
     }
 
-    /// Tells whether the upstream recently answered a call with this fingerprint.
+    /// Returns whether the upstream recently answered a call with this fingerprint.
     pub fn was_answered(&self, request: Fingerprint, now: Time) -> bool {
         self.answers.get(&request).is_some_and(|at| now.since(*at) < EXONERATION_WINDOW)
     }
 
-    /// Tells whether the upstream answered any call after `since`.
+    /// Returns whether the upstream answered any call after `since`.
     pub fn has_answered_after(&self, since: Time) -> bool {
         self.order.back().is_some_and(|(at, _)| *at > since)
     }
 
-    /// Tells whether any call was lost recently.
+    /// Returns whether any call was lost recently.
     pub fn has_lost(&mut self, now: Time) -> bool {
         self.evict(now);
         !self.lost.is_empty()
--- a/crates/policy/src/warmup.rs
+++ b/crates/policy/src/warmup.rs
@@ -1,6 +1,6 @@
 //! Rate limit of an upstream during warm-up.
 //!
-//! A cold upstream crashes above a low call rate and comes back cold, so that the normal load keeps
+//! A cold upstream crashes above a low call rate and restarts cold, so that the normal load keeps
 //! it crashing. All its calls pass its serving node, which limits them with a token bucket.
 
 use model::{service::WarmUp, time::Time};
@@ -76,7 +76,7 @@
         self.tokens = self.tokens.min(limit.burst);
     }
 
-    /// Tells whether the warm-up lasts at `now`.
+    /// Returns whether the warm-up lasts at `now`.
     pub fn is_active(&self, now: Time) -> bool {
         now < self.limit.until
     }
--- a/crates/traffic/src/admission/running/tests.rs
+++ b/crates/traffic/src/admission/running/tests.rs
@@ -9,7 +9,7 @@
     assert_eq!(running.parent_of(id).is_some(), expect, "{id}");
 }
 
-/// Guards against calls of callers that are given the priority of nested calls.
+/// Guards against calls of callers that get the priority of nested calls.
 #[test]
 fn only_calls_for_a_running_request_are_nested() {
     let running = Registry::default();
--- a/crates/traffic/src/admission/semaphore.rs
+++ b/crates/traffic/src/admission/semaphore.rs
@@ -19,7 +19,7 @@
 
 use crate::{clock::Clock, lock::lock};
 
-/// Maximum poll interval of a waiting task; the start or end of a warm-up limit wakes nobody.
+/// Maximum poll interval of a waiting task; the start or end of a warm-up limit wakes no task.
 const MAX_POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Minimum poll interval of a waiting task, the resolution of timers.
--- a/crates/traffic/src/call.rs
+++ b/crates/traffic/src/call.rs
@@ -102,7 +102,7 @@
     pub(crate) path: Uri,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
-    /// Cached hash of what the request asks for.
+    /// Cached result of [`Payload::fingerprint`].
     fingerprint: OnceLock<Fingerprint>,
 }
 
@@ -120,7 +120,8 @@
         request
     }
 
-    /// Returns a hash of what the request asks for, equal for all attempts and entry nodes.
+    /// Returns a hash of method, host or service, target, credentials and body, equal for all attempts
+    /// and entry nodes.
     ///
     /// Headers such as the attempt's id, its remaining time and the caller's service are ignored.
     /// Without routes, pass the named `service`, which replaces the host. The hash is computed once.
--- a/crates/traffic/src/proxy.rs
+++ b/crates/traffic/src/proxy.rs
@@ -199,7 +199,7 @@
         splits.get_mut(name).expect("the split was just inserted").next(weights, offset)
     }
 
-    /// Calls `work` with the register of refused callers.
+    /// Calls `work` with the history of refused callers.
     pub(crate) fn with_refused<T>(&self, work: impl FnOnce(&mut client_retry::History) -> T) -> T {
         work(&mut lock(&self.refused))
     }
--- a/crates/traffic/src/proxy/estimates.rs
+++ b/crates/traffic/src/proxy/estimates.rs
@@ -26,7 +26,7 @@
         lock(&self.routes).get(key(service, route)).map(|answers| answers.latency)
     }
 
-    /// Returns the usual size of an answer of `route` to `service`, in bytes; 0 before the first one.
+    /// Returns the mean size of an answer of `route` to `service`, in bytes; 0 before the first one.
     pub(crate) fn bytes(&self, service: &str, route: &str) -> usize {
         lock(&self.routes).get(key(service, route)).map_or(0, |answers| answers.size.mean())
     }
--- a/crates/traffic/src/proxy/services.rs
+++ b/crates/traffic/src/proxy/services.rs
@@ -67,7 +67,7 @@
 struct Incarnation {
     /// Address of its node.
     address: SocketAddr,
-    /// Incarnation of the node if the upstream has no identity of its own, otherwise 0.
+    /// Incarnation of the node if the upstream has no identity, otherwise 0.
     incarnation: u64,
     identity: Option<Arc<str>>,
     /// Start of the process, in ms of Unix time; an upstream may restart under its identity.
--- a/crates/traffic/src/upstream/validation.rs
+++ b/crates/traffic/src/upstream/validation.rs
@@ -7,7 +7,7 @@
 
 /// Returns whether the request id that an answer echoes is that of the call.
 ///
-/// Detects answers that are crossed, duplicated or late, which HTTP/1.1 cannot tell apart.
+/// Detects answers that are crossed, duplicated or late, which HTTP/1.1 alone cannot detect.
 pub(super) fn matches_request<T>(proxy: &Proxy, offer: &Offer, head: &Response<T>) -> bool {
     let Some(name) = &proxy.settings.names.request else {
         return match wire::read_number(head.headers(), wire::ID) {
@@ -24,7 +24,7 @@
     }
 }
 
-/// Returns whether an answer can be forwarded as the upstream's own.
+/// Returns whether an answer can be forwarded as the upstream's.
 ///
 /// A success without the upstream's stamp, or with a content encoding, was not sent by it. A status
 /// that means "not run" is forwarded only with the header of a refusal.
