--- a/crates/fleet/src/catchup.rs
+++ b/crates/fleet/src/catchup.rs
@@ -2,7 +2,9 @@
 //!
 //! Chunks are small enough for a slow, loaded link to carry one within a request timeout. Received
 //! documents are kept, so a transfer resumes after a timeout, at another node, or at a later version.
-//! The documents of a [`Transfer`] never take effect until their digest is that of an announced version.
+//!
+//! Invariant *atomic versions*: [`Transfer::receive`] releases documents only as a complete set that
+//! has the digest of an announced version; none of them is in force before.
 
 use model::{
     config::Version,
--- a/crates/fleet/src/control.rs
+++ b/crates/fleet/src/control.rs
@@ -1,8 +1,9 @@
 //! The control state machine of a node that discovers its peers by gossip.
 //!
-//! [`Control::apply`] is the only way to change the state: it takes one event and the time, returns the
-//! effects to carry out, and never blocks. The node's control thread drives it with real sockets, tests
-//! with a virtual clock.
+//! It never blocks. The node's control thread drives it with real sockets, tests with a virtual clock.
+//!
+//! Invariant *single entry point*: only [`Control::apply`] changes the state. It takes one event and the
+//! time, and returns the effects to carry out.
 
 mod fleet;
 mod port;
--- a/crates/fleet/src/directory.rs
+++ b/crates/fleet/src/directory.rs
@@ -1,9 +1,11 @@
 //! The platform's list of upstreams, replicated to every node.
 //!
 //! Entries and removals carry the platform's revision at which they were written. Copies merge in any
-//! order: the higher revision of an identity wins. A copy is *complete* up to a revision if it holds all
-//! earlier writes, so a holder of revision N lacks exactly [`Directory::since`] N. An upstream may
-//! restart under the same identity; a later start time then replaces the earlier incarnation.
+//! order: the higher revision of an identity wins, and the later start time of an upstream that restarted
+//! under it. A copy is *complete* up to a revision if it holds all earlier writes, so a holder of revision
+//! N lacks exactly [`Directory::since`] N.
+//!
+//! Invariant *single entry point*: only [`Directory::apply`] and [`Directory::expire`] change the list.
 
 use model::time::Time;
 use serde::{Deserialize, Serialize};
--- a/crates/fleet/src/fence.rs
+++ b/crates/fleet/src/fence.rs
@@ -1,7 +1,8 @@
 //! The version fence: the configuration version in force, and which version may replace it.
 //!
-//! [`Fence::offer`] is the only way to replace it and takes higher revisions only, so an outdated
-//! platform, a delayed message or a restarted peer cannot bring back an old version.
+//! Invariant *monotonic versions*: only [`Fence::offer`] replaces the version in force, and only by a
+//! higher revision. An outdated platform, a delayed message, a process that was paused or a restarted
+//! peer cannot bring back an old version.
 
 use model::{
     config::{self, Snapshot, Version},
--- a/crates/fleet/src/listed.rs
+++ b/crates/fleet/src/listed.rs
@@ -2,7 +2,9 @@
 //!
 //! Nodes gossip [`Digest`]s as datagrams at a bounded rate: the revisions they hold, with small changes
 //! piggybacked. A node that is behind pulls from one that is ahead, and missing digests mark nodes and data
-//! centres unreachable. [`Control::apply`] is the only entry point that changes the state.
+//! centres unreachable.
+//!
+//! Invariant *single entry point*: only [`Control::apply`] changes the state.
 
 mod changes;
 mod partition;
--- a/crates/fleet/src/roster.rs
+++ b/crates/fleet/src/roster.rs
@@ -1,7 +1,8 @@
 //! The membership table.
 //!
-//! Records change only through [`Roster::learn`] and, for the local node, [`Roster::update_own`], which
-//! keep the bucket digests and the rumour queue consistent with them.
+//! Invariant *single entry point*: only [`Roster::learn`] and, for the record of the local node,
+//! [`Roster::update_own`] add or change records, so that bucket digests and rumour queue stay consistent
+//! with them. [`Roster::prune`] removes tombstones, which have no share in the digests.
 
 use model::time::Time;
 use rand::{RngExt, rngs::SmallRng, seq::IndexedRandom};
--- a/crates/model/src/config.rs
+++ b/crates/model/src/config.rs
@@ -1,7 +1,7 @@
 //! Builds and validates configuration snapshots.
 //!
-//! Atomicity invariant: [`build`] turns all documents of a revision into one immutable
-//! [`Snapshot`], or rejects the revision as a whole.
+//! Invariant *atomic versions*: [`build`] and [`rebuild`] turn all documents of a revision into one
+//! immutable [`Snapshot`], or reject the revision as a whole.
 
 use serde::{Deserialize, Serialize};
 use std::{collections::HashMap, fmt, sync::Arc};
--- a/crates/standins/src/queueing/simulation.rs
+++ b/crates/standins/src/queueing/simulation.rs
@@ -1,6 +1,7 @@
 //! State and event loop of the queueing model.
 //!
-//! Invariant: state changes only when [`Simulation::apply`] handles an [`Event`] from the queue.
+//! Invariant *single entry point*: only [`Simulation::apply`], which handles one [`Event`] of the queue,
+//! changes the state.
 
 use model::time::Time;
 use policy::{
