--- a/crates/fleet/src/directory.rs
+++ b/crates/fleet/src/directory.rs
@@ -328,7 +328,7 @@
             // A writer that provides start times always does so. This is another writer's value, so
             // the upstream's incarnation cannot be identified.
             None if started.is_some() => return self.delete(&Removal::unusable(&entry), now),
-            // A delayed write of an earlier incarnation.
+            // A delayed write of an earlier incarnation, which may even say that it is leaving.
             started_ms if started_ms < started => return None,
             _ => {}
         }
--- a/crates/fleet/src/listed/watch.rs
+++ b/crates/fleet/src/listed/watch.rs
@@ -130,7 +130,9 @@
         failed
     }
 
-    /// Records a failed call and backs off with jitter; returns whether it is the first in a series.
+    /// Records a failed call; returns whether it is the first in a series.
+    ///
+    /// The backoff has jitter, so that nodes that failed together do not call together.
     pub(super) fn record_failure(&mut self, now: Time, random: &mut SmallRng) -> bool {
         let doubled = self.settings.min_backoff * 2u32.pow(self.failures.min(8));
         let bound = doubled.min(self.settings.max_backoff);
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -82,7 +82,7 @@
 
     /// Returns what is invalid about a received record, if anything.
     ///
-    /// Bounds the names, and rejects numbers too large to be refuted.
+    /// Bounds the names, which fill the tables of all nodes, and rejects numbers too large to be refuted.
     pub fn fault(&self) -> Option<&'static str> {
         let names = [&self.instance, &self.service, &self.data_centre];
         if !names.into_iter().all(|name| is_name(name)) {
--- a/crates/fleet/src/source.rs
+++ b/crates/fleet/src/source.rs
@@ -1,8 +1,9 @@
 //! Which nodes read the platform, and when.
 //!
-//! The first two nodes of each data centre in rendezvous order read; the others learn from peers. Each
-//! node computes the order from its own membership table, without an election. A standby takes over once
-//! it has not learned of a platform contact for a time that grows with its rank.
+//! The first two nodes of each data centre in rendezvous order read, so that the platform's load does not
+//! grow with the fleet; the others learn from peers. Each node computes the order from its membership
+//! table: a disagreement only adds a reader. A standby takes over once it has not learned of a platform
+//! contact for a time that grows with its rank.
 
 use model::{document::Delta, fault::Fault, time::Time};
 use rand::{RngExt, rngs::SmallRng};
@@ -259,7 +260,8 @@
         std::mem::replace(&mut self.is_failing, false)
     }
 
-    /// Records a failed call and schedules the next one with exponential backoff and jitter.
+    /// Records a failed call and schedules the next one with exponential backoff, and with jitter, so that
+    /// nodes that failed together do not call together.
     ///
     /// Returns whether this is the first failure in a row.
     pub fn record_failure(&mut self, topic: Topic, now: Time, random: &mut SmallRng) -> bool {
--- a/crates/policy/src/claim.rs
+++ b/crates/policy/src/claim.rs
@@ -2,6 +2,7 @@
 //!
 //! A call lost before the claim was not run; after it, only a complete answer is proof. All reasons
 //! to refuse are checked here again, on current state.
+//! Source: "14. Workers", section "Admission and exact claim".
 
 use model::time::Time;
 use std::time::Duration;
@@ -103,7 +104,8 @@
 
 /// Returns the deadline of a request received with `remaining_ms`, capped at `limit_ms`.
 ///
-/// Time starts when the head of the request is read; time on the wire is not subtracted.
+/// Time starts when the head of the request is read. Time on the wire is not subtracted, since each
+/// hop has an earlier deadline than the previous one.
 pub fn deadline(received: Time, remaining_ms: Option<u64>, limit_ms: u64) -> Time {
     let ms = remaining_ms.unwrap_or(limit_ms).min(limit_ms);
     received + Duration::from_millis(ms)
--- a/crates/policy/src/client_retry.rs
+++ b/crates/policy/src/client_retry.rs
@@ -1,7 +1,8 @@
-//! Recognizes retries by refused callers, which go before first attempts, by request fingerprint.
+//! Recognizes retries by refused callers, by request fingerprint.
 //!
-//! A retry has a new request id and connection, and callers start with different timeouts, so
-//! neither identifies a caller. Identical concurrent requests may be confused, which is harmless.
+//! Retries go before first attempts, since their objective counts from the first one. A retry has a new
+//! request id and connection, and callers start with different timeouts, so none of these identifies
+//! it. Identical concurrent requests may be confused, which is harmless.
 
 use model::{request::Fingerprint, time::Time};
 use std::{
--- a/crates/policy/src/drain.rs
+++ b/crates/policy/src/drain.rs
@@ -19,7 +19,8 @@
 
 /// Time that calls in flight get after the close, even past the limit.
 ///
-/// A process that was paused until its limit may resume with calls in flight.
+/// A process that was paused until its limit may resume with calls in flight, whose outcomes would be
+/// unknown if it ended at once.
 const MIN_CLOSED_BUSY: Duration = Duration::from_millis(500);
 
 /// Times of a planned stop, counted from its announcement.
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -10,13 +10,15 @@
 
 use crate::{health::Record, retry::Kind};
 
-/// Cost of another data centre, in shares of the slots.
+/// Cost of another data centre, in shares of the slots; covers the round trip and the traffic.
 const REMOTE_COST: f64 = 0.25;
 
-/// Cost per request byte sent within a data centre, in shares of the slots.
+/// Cost per request byte sent within a data centre, in shares of the slots; covers the transfer time
+/// on a slow link.
 const DATA_CENTRE_BYTE_COST: f64 = 1.0 / 180_000.0;
 
-/// Cost per byte sent to or returned from another data centre, in shares of the slots.
+/// Cost per byte sent to or returned from another data centre, in shares of the slots; a call with a
+/// large answer leaves its data centre only if it would have to wait there.
 const REMOTE_BYTE_COST: f64 = 1.0 / 3_000.0;
 
 /// Upper bound of the byte cost, so that large bodies leave a data centre with long queues.
@@ -27,14 +29,15 @@
 /// A refusal shows that the data centre has less free capacity than reported.
 const REFUSAL_DISCOUNT: f64 = 2.0;
 
-/// Body size in bytes from which transfers on slow links are queued.
+/// Body size in bytes from which transfers on slow links are queued; smaller ones take no longer than
+/// the request for a grant.
 pub const LARGE_BODY_BYTES: usize = 16 * 1024;
 
 /// Cost for each large body queued before the call's own large body, in shares of the slots.
 const QUEUED_BODY_COST: f64 = 0.25;
 
 /// Cost of an upstream that fails every call, in shares of its slots; proportional to the failure
-/// share.
+/// share. A failed call is lost or runs twice.
 const FAILURE_COST: f64 = 1.0;
 
 /// Upper bound of the random cost, in shares of the slots, which spreads the calls of nodes with
@@ -44,7 +47,7 @@
 /// Slots assumed if the number is unknown.
 const DEFAULT_SLOTS: usize = 8;
 
-/// Latency factor assumed of an upstream that is cold after its start.
+/// Latency factor assumed of an upstream that is cold after its start, before its answers show it.
 const COLD_FACTOR: f64 = 2.0;
 
 /// Latency assumed of a cold upstream without a sample.
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -111,7 +111,8 @@
 
 /// Decides whether to retry a failed attempt; the caller checks the deadline.
 ///
-/// A call with an unknown outcome is retried only if it is idempotent.
+/// A call with an unknown outcome is retried only if it is idempotent: a second run could, for
+/// example, post a payment twice.
 pub fn decide(attempt: Attempt, budget: &mut Budget) -> Step {
     if attempt.made >= attempt.limit {
         return Step::GiveUp;
@@ -159,7 +160,7 @@
     Step::Retry
 }
 
-/// Upper bound of serving nodes that one call is offered to.
+/// Upper bound of serving nodes that one call is offered to; each refusal costs a round trip.
 const MAX_OFFERS: usize = 4;
 
 /// Returns whether a call with so many offers may be offered once more.
--- a/crates/policy/src/transfer.rs
+++ b/crates/policy/src/transfer.rs
@@ -12,7 +12,7 @@
 /// retry.
 const FIRST_SHARE: f64 = 0.5;
 
-/// Share of the slack that the body of a retry may wait.
+/// Share of the slack that the body of a retry may wait, which may be the caller's last attempt.
 const RETRY_SHARE: f64 = 0.75;
 
 /// Share of the objective that the body of a call may wait if the objective cannot be met.
--- a/crates/traffic/src/entry/hedge.rs
+++ b/crates/traffic/src/entry/hedge.rs
@@ -1,7 +1,7 @@
 //! Hedged requests: a second, concurrent attempt at another upstream while the first is pending.
 //!
-//! Only idempotent calls are hedged. The first answer wins; until then the first attempt goes on,
-//! so a slow answer is still used.
+//! An upstream may lose an answer without closing the connection. Only idempotent calls are hedged. The
+//! first answer wins; until then the first attempt goes on, so a slow answer is still used.
 
 use fleet::view::Upstream;
 use policy::{
--- a/crates/traffic/src/wire.rs
+++ b/crates/traffic/src/wire.rs
@@ -63,7 +63,8 @@
 /// Load of the serving node: `BUSY,WAITING,BODIES`.
 pub const LOAD: HeaderName = HeaderName::from_static("baobab-load");
 
-/// Prefix of all internal headers; removed from requests of callers and answers of upstreams.
+/// Prefix of all internal headers; removed from requests of callers and answers of upstreams, so that
+/// neither can forge them.
 const PREFIX: &str = "baobab-";
 
 /// Value of [`OUTCOME`] for a complete answer.
