--- a/crates/fleet/src/directory.rs
+++ b/crates/fleet/src/directory.rs
@@ -1,9 +1,9 @@
 //! The platform's list of upstreams, replicated to every node.
 //!
-//! Entries and removals carry the platform's revision at which they were written. Copies merge in any
-//! order: the higher revision of an identity wins, and the later start time of an upstream that restarted
-//! under it. A copy is *complete* up to a revision if it holds all earlier writes, so a holder of revision
-//! N lacks exactly [`Directory::since`] N.
+//! Entries and removals carry the platform's revision of their write. Copies merge in any order: the
+//! higher revision of an identity wins, and the later start time of a restarted upstream. A copy is
+//! *complete* up to a revision if it holds all earlier writes: a holder of revision N lacks exactly
+//! [`Directory::since`] N.
 //!
 //! Invariant *single entry point*: only [`Directory::apply`] and [`Directory::expire`] change the list.
 
--- a/crates/fleet/src/source.rs
+++ b/crates/fleet/src/source.rs
@@ -2,8 +2,8 @@
 //!
 //! The first two nodes of each data centre in rendezvous order read, so that the platform's load does not
 //! grow with the fleet; the others learn from peers. Each node computes the order from its membership
-//! table: a disagreement only adds a reader. A standby takes over once it has not learned of a platform
-//! contact for a time that grows with its rank.
+//! table; a disagreement only adds a reader. A standby takes over after a time without a known platform
+//! contact that grows with its rank.
 
 use model::{document::Delta, fault::Fault, time::Time};
 use rand::{RngExt, rngs::SmallRng};
--- a/crates/traffic/src/intake/pipelining.rs
+++ b/crates/traffic/src/intake/pipelining.rs
@@ -1,9 +1,9 @@
 //! HTTP/1.1 pipelining: runs idempotent calls concurrently and answers them in order.
 //!
-//! `hyper` handles one request of a connection at a time. A tap on the stream parses the heads of
-//! requests without a body ahead of `hyper` and starts their calls; `hyper` then awaits the running
-//! call. A request with a body disables parsing for the rest of the connection. Only idempotent
-//! calls start early, since callers resend requests behind an answer that closes the connection.
+//! `hyper` handles one request of a connection at a time. A tap on the stream parses heads without a
+//! body ahead of it and starts their calls, which `hyper` then awaits; a request with a body ends this
+//! for the connection. Only idempotent calls start early, since callers resend requests behind an answer
+//! that closes the connection.
 
 use bytes::{Bytes, BytesMut};
 use http_body_util::{Either, Empty};
--- a/crates/traffic/src/lib.rs
+++ b/crates/traffic/src/lib.rs
@@ -1,9 +1,8 @@
-//! Data plane: forwards calls from callers through the entry node and the serving node to an
-//! upstream, and returns the answers.
+//! Data plane: forwards calls from callers through entry and serving node to an upstream, and back.
 //!
-//! Applies the decisions of `policy` to sockets. It reads immutable snapshots of configuration and
-//! membership, never blocks on the control plane, and depends neither on the platform nor on control
-//! messages. Only the headers in [`wire`] are a stable interface.
+//! Applies the decisions of `policy` to sockets. It reads immutable snapshots, never blocks on the control
+//! plane, and depends neither on the platform nor on control messages. Only the headers in [`wire`] are
+//! a stable interface.
 
 mod admission;
 mod call;
