--- a/crates/fleet/tests/joining.rs
+++ b/crates/fleet/tests/joining.rs
@@ -31,8 +31,8 @@
     Control::new(Settings::new(own), now(0))
 }
 
-fn beat(port: u16, revision: u64) -> Event {
-    let beat = Heartbeat {
+fn heartbeat(port: u16, revision: u64) -> Event {
+    let heartbeat = Heartbeat {
         from: Sender { address: address(port), incarnation: 1 },
         stamp: Stamp::default(),
         version: Version { revision, ..Version::default() },
@@ -42,7 +42,7 @@
         rumours: vec![],
         reports: vec![],
     };
-    Event::Response(address(port), Response::Heartbeat(beat))
+    Event::Response(address(port), Response::Heartbeat(heartbeat))
 }
 
 /// Applies events at their times, in ms; compares the ports of the peers that the node pulls from.
@@ -64,8 +64,11 @@
 #[test]
 fn a_starting_node_pulls_the_highest_version_heard_within_the_join_wait() {
     let tick = Event::Tick;
-    check(&[(10, beat(2, 5)), (20, beat(3, 9)), (30, beat(4, 7)), (450, tick.clone())], &[3]);
-    check(&[(10, beat(2, 5)), (450, tick.clone())], &[2]);
-    check(&[(10, beat(2, 5)), (390, tick.clone())], &[]);
-    check(&[(450, tick), (460, beat(2, 5)), (470, beat(3, 9))], &[2]);
+    check(
+        &[(10, heartbeat(2, 5)), (20, heartbeat(3, 9)), (30, heartbeat(4, 7)), (450, tick.clone())],
+        &[3],
+    );
+    check(&[(10, heartbeat(2, 5)), (450, tick.clone())], &[2]);
+    check(&[(10, heartbeat(2, 5)), (390, tick.clone())], &[]);
+    check(&[(450, tick), (460, heartbeat(2, 5)), (470, heartbeat(3, 9))], &[2]);
 }
--- a/crates/fleet/tests/large_fleet.rs
+++ b/crates/fleet/tests/large_fleet.rs
@@ -55,7 +55,7 @@
             net.run(100);
             let missed = |n: &usize| net.target_count(*n) < zones.len();
             let blind: Vec<usize> = (0..zones.len()).filter(missed).collect();
-            assert!(blind.is_empty(), "{places} places of {part}: {blind:?} miss somebody");
+            assert!(blind.is_empty(), "{places} places of {part}: {blind:?} miss a node");
         }
     }
 }
--- a/crates/fleet/tests/net/mod.rs
+++ b/crates/fleet/tests/net/mod.rs
@@ -516,8 +516,8 @@
             return self.fail(node, incarnation, CALL_TIMEOUT_MS, failure);
         }
         let Query::Changes { after, .. } = query else { return };
-        let forgotten = after.is_some_and(|after| self.store.is_compacted(after));
-        if forgotten {
+        let compacted = after.is_some_and(|after| self.store.is_compacted(after));
+        if compacted {
             return self.fail(node, incarnation, 1, Failure::Compacted);
         }
         let changeset = self.store.changeset(after);
--- a/crates/fleet/tests/net/store.rs
+++ b/crates/fleet/tests/net/store.rs
@@ -95,7 +95,7 @@
     /// Returns the changes after revision `after`, or a full copy.
     pub(crate) fn changeset(&self, after: Option<u64>) -> Changeset {
         let list = Update { revision: self.revision, base: after, ..Update::default() };
-        let mut news = Changeset { revision: self.revision, list, ..Changeset::default() };
+        let mut changeset = Changeset { revision: self.revision, list, ..Changeset::default() };
         let is_new = |revision: u64| after.is_none_or(|after| revision > after);
         let mut orders = Vec::new();
         for (key, (revision, value)) in self.values.iter().filter(|(_, (at, _))| is_new(*at)) {
@@ -110,18 +110,18 @@
             let id = key.trim_start_matches(SERVERS).to_owned();
             let removal = Removal { id, revision: *revision, ..Removal::default() };
             match value {
-                Value::Entry(entry) => news.list.entries.push(entry.clone()),
-                Value::Deleted if after.is_some() => news.list.removed.push(removal),
+                Value::Entry(entry) => changeset.list.entries.push(entry.clone()),
+                Value::Deleted if after.is_some() => changeset.list.removed.push(removal),
                 Value::Deleted => {}
                 Value::Malformed => {
-                    news.list.removed.push(Removal { reason: Reason::Unusable, ..removal });
+                    changeset.list.removed.push(Removal { reason: Reason::Unusable, ..removal });
                 }
-                Value::Config(content) => news.config = Some(self.config(*revision, *content)),
+                Value::Config(content) => changeset.config = Some(self.config(*revision, *content)),
                 Value::Evacuation => {}
             }
         }
-        news.list.orders = Some(orders);
-        news
+        changeset.list.orders = Some(orders);
+        changeset
     }
 
     fn config(&self, revision: u64, content: Content) -> Delta {
--- a/crates/fleet/tests/operators.rs
+++ b/crates/fleet/tests/operators.rs
@@ -90,7 +90,7 @@
     check(&mut net, 4, Duration::from_secs(45));
 }
 
-/// Guards against keeping removed documents when a delta lacks removals that the peer has forgotten: the
+/// Guards against keeping removed documents when a delta lacks removals that the peer has pruned: the
 /// content hash must differ and cause a full transfer.
 #[test]
 fn a_delta_that_lacks_removals_is_rejected() {
--- a/crates/fleet/tests/partitions.rs
+++ b/crates/fleet/tests/partitions.rs
@@ -67,7 +67,7 @@
     for node in 0..6 {
         let roster = net.control(node).expect("the node runs").roster();
         let works = |peer| roster.get(address(peer)).is_some_and(|r| r.state.takes_work());
-        assert!((0..6).all(works), "node {node} still misses somebody");
+        assert!((0..6).all(works), "node {node} still misses a node");
     }
 }
 
--- a/crates/fleet/tests/quarantine.rs
+++ b/crates/fleet/tests/quarantine.rs
@@ -298,7 +298,7 @@
     register.refresh(at(0));
     assert_eq!(register.current().until.len(), 2);
     register.record_crash(&crash(3, &[FATAL]), at(10));
-    let changes = register.refresh(at(10)).expect("a crash is news");
+    let changes = register.refresh(at(10)).expect("a crash is a change");
     assert_eq!(changes, [Change::Released { request: OTHER }]);
 }
 
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -102,8 +102,8 @@
     timeout: Duration,
 ) -> Result<Response, Error> {
     match request {
-        Request::Heartbeat(beat) => {
-            call(peer, "beat", beat, timeout).await.map(Response::Heartbeat)
+        Request::Heartbeat(heartbeat) => {
+            call(peer, "beat", heartbeat, timeout).await.map(Response::Heartbeat)
         }
         Request::Pull(pull) => pull_compressed(peer, pull, timeout).await.map(Response::Pull),
         Request::Sync(sync) => call(peer, "sync", sync, timeout).await.map(Response::Sync),
@@ -180,9 +180,9 @@
 
 fn rpc_module(handler: Arc<dyn Handler>) -> RpcModule<Arc<dyn Handler>> {
     let mut module = RpcModule::new(handler);
-    register::<Heartbeat, Heartbeat>(&mut module, "beat", |handler, beat| {
-        map_reply(handler.handle(Request::Heartbeat(beat)), |response| match response {
-            Response::Heartbeat(beat) => Some(beat),
+    register::<Heartbeat, Heartbeat>(&mut module, "beat", |handler, heartbeat| {
+        map_reply(handler.handle(Request::Heartbeat(heartbeat)), |response| match response {
+            Response::Heartbeat(heartbeat) => Some(heartbeat),
             _ => None,
         })
     });
--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -92,7 +92,7 @@
                     Decision::Run => running.push(Ticket(next)),
                     Decision::Wait(_) => drop(waiting.insert(next, deadline)),
                     Decision::Refuse(after) if after.is_zero() => {
-                        return TestResult::error("told to come back at once");
+                        return TestResult::error("a refused caller gets a Retry-After of zero");
                     }
                     Decision::Refuse(_) => {}
                 }
--- a/crates/policy/tests/latency.rs
+++ b/crates/policy/tests/latency.rs
@@ -32,7 +32,7 @@
     latency
 }
 
-/// Guards against a mean over all routes of a service, which makes short calls beside long ones
+/// Guards against a mean over all routes of a service, which makes short calls next to long ones
 /// count as late on arrival.
 #[test]
 fn short_call_beside_long_ones_is_not_late_on_arrival() {
--- a/crates/policy/tests/outcome.rs
+++ b/crates/policy/tests/outcome.rs
@@ -18,7 +18,7 @@
     assert_eq!(outcomes, expect, "{step:?}");
 }
 
-/// Guards against a payment that runs twice: its caller was told "not run" although the upstream
+/// Guards against a payment that runs twice: its caller received "not run" although the upstream
 /// had received it.
 #[test]
 fn not_run_is_returned_only_if_proven() {
@@ -38,8 +38,8 @@
     for cause in ["overloaded", "leaving", "late", "paused", "replaced", "no-upstream"] {
         assert_eq!(Cause::parse(cause).map(Cause::name), Some(cause));
     }
-    for doubt in ["broken", "timeout", "bad-answer"] {
-        assert_eq!(Uncertainty::parse(doubt).map(Uncertainty::name), Some(doubt));
+    for name in ["broken", "timeout", "bad-answer"] {
+        assert_eq!(Uncertainty::parse(name).map(Uncertainty::name), Some(name));
     }
     assert_eq!(Cause::parse("whatever"), None);
 }
--- a/crates/source/src/lib.rs
+++ b/crates/source/src/lib.rs
@@ -107,8 +107,8 @@
                 match self.get(&path, wait) {
                     Ok(Response::Unchanged(revision)) => unchanged(revision),
                     Ok(Response::Body(text)) => {
-                        let news = parse::<Changeset>(&text).map(Answer::Changes);
-                        news.unwrap_or_else(|error| {
+                        let changes = parse::<Changeset>(&text).map(Answer::Changes);
+                        changes.unwrap_or_else(|error| {
                             Answer::Failed(Topic::Changes, to_failure(error))
                         })
                     }
--- a/crates/traffic/tests/quarantine.rs
+++ b/crates/traffic/tests/quarantine.rs
@@ -21,7 +21,7 @@
         !found.borrow().is_empty()
     });
     let mut crashes = found.into_inner();
-    assert_eq!(crashes.len(), 1, "one end");
+    assert_eq!(crashes.len(), 1, "one crash");
     crashes.remove(0)
 }
 
@@ -59,7 +59,7 @@
     assert_eq!(status(&answer), "503", "{answer}");
     assert_eq!(header(&answer, "baobab-cause"), Some("quarantined"));
     let after: f64 = header(&answer, "retry-after").and_then(|t| t.parse().ok()).unwrap_or(0.0);
-    assert!(after > QUARANTINE_S as f64 / 2.0, "to come back after {after} s");
+    assert!(after > QUARANTINE_S as f64 / 2.0, "retry after {after} s");
     assert_eq!(cluster.received().len(), before, "it has not run");
 }
 
--- a/crates/traffic/tests/routed.rs
+++ b/crates/traffic/tests/routed.rs
@@ -60,9 +60,9 @@
         assert_eq!(seen.header("x-other"), Some("kept"));
         assert_eq!(seen.header("x-id"), Some("r1"));
         assert_eq!(seen.body, b"{}");
-        let expected = seen.header("x-expect").expect("an identity is told");
+        let expected = seen.header("x-expect").expect("an identity is sent");
         assert!(["i-0", "i-1"].contains(&expected), "{expected}");
-        let deadline: u64 = seen.header("x-deadline").expect("it is told").parse().expect("ms");
+        let deadline: u64 = seen.header("x-deadline").expect("it is sent").parse().expect("ms");
         assert!((1_000..=1_500).contains(&deadline), "the route's timeout: {deadline}");
     }
 }
@@ -87,7 +87,7 @@
         }
         cluster.upstreams[1].set(refusal);
         let answer = check(&cluster, &request("POST", "/post/a", "", "{}"), "503");
-        let after: f64 = header(&answer, "retry-after").expect("it is told").parse().expect("s");
+        let after: f64 = header(&answer, "retry-after").expect("it is sent").parse().expect("s");
         assert!(after > 0.0 && after < 1.0, "{after}");
     }
 }
--- a/crates/traffic/tests/stateful_fuzz.rs
+++ b/crates/traffic/tests/stateful_fuzz.rs
@@ -129,9 +129,7 @@
                 _ => false,
             };
             if !holds {
-                return TestResult::error(format!(
-                    "{work} was told {outcome} and ran {runs} times"
-                ));
+                return TestResult::error(format!("{work} got {outcome} and ran {runs} times"));
             }
         }
         TestResult::passed()
