--- a/crates/fleet/src/catchup.rs
+++ b/crates/fleet/src/catchup.rs
@@ -2,7 +2,9 @@
 //!
 //! Chunks are small enough for a slow, loaded link to carry one within a request timeout. Received
 //! documents are kept, so a transfer resumes after a timeout, at another node, or at a later version.
-//! The documents of a [`Transfer`] never take effect until their digest is that of an announced version.
+//!
+//! Invariant *atomic versions*: [`Transfer::receive`] releases documents only as a complete set that
+//! has the digest of an announced version; none of them is in force before.
 
 use model::{
     config::Version,
@@ -20,8 +22,8 @@
 /// Smallest chunk, in document bytes: about one bucket, which is not split.
 const MIN_CHUNK_BYTES: usize = 16 << 10;
 
-/// Most chunks accepted for one version, so that a peer that reports wrong bucket digests cannot
-/// keep a transfer going.
+/// Maximum number of chunks accepted for one version, so that a peer that reports wrong bucket digests
+/// cannot keep a transfer going.
 const MAX_CHUNKS: u32 = 4 * BUCKETS as u32;
 
 /// A partially received version of the configuration.
@@ -67,7 +69,7 @@
 }
 
 impl Transfer {
-    /// Tells whether no document has been received.
+    /// Returns whether no document has been received.
     pub fn is_empty(&self) -> bool {
         self.set.is_none()
     }
@@ -142,7 +144,7 @@
     ///
     /// From the second consecutive timeout on, the chunk size is halved; a single one may have
     /// other causes than a slow link.
-    pub fn note_timeout(&mut self) {
+    pub fn record_timeout(&mut self) {
         self.timeouts += 1;
         if self.timeouts > 1 {
             self.chunk_bytes = (self.chunk_bytes / 2).max(MIN_CHUNK_BYTES);
--- a/crates/fleet/src/control.rs
+++ b/crates/fleet/src/control.rs
@@ -1,8 +1,9 @@
 //! The control state machine of a node that discovers its peers by gossip.
 //!
-//! [`Control::apply`] is the only way to change the state: it takes one event and the time, returns the
-//! effects to carry out, and never blocks. The node's control thread drives it with real sockets, tests
-//! with a virtual clock.
+//! It never blocks. The node's control thread drives it with real sockets, tests with a virtual clock.
+//!
+//! Invariant *single entry point*: only [`Control::apply`] changes the state. It takes one event and the
+//! time, and returns the effects to carry out.
 
 mod fleet;
 mod port;
@@ -45,10 +46,10 @@
 /// Timeout of an anti-entropy exchange of member records.
 const SYNC_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Least time between two anti-entropy exchanges started by this node.
+/// Minimum time between two anti-entropy exchanges started by this node.
 const SYNC_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Least time between two rounds of heartbeats that announce membership changes.
+/// Minimum time between two rounds of heartbeats that announce membership changes.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Interval of checks for expired suspicions and old tombstones.
@@ -182,13 +183,13 @@
             Event::Request(request) => self.handle_request(request, now),
             Event::Response(peer, response) => self.handle_response(peer, response, now),
             Event::Failed(peer, error) => self.handle_failure(peer, error, now),
-            // Only nodes in listed mode send digests.
+            // Only nodes in list mode send digests.
             Event::Digest(_) => {}
             Event::Source(answer) => self.handle_source(answer, now),
-            Event::Note(kind) => self.record(kind, now),
-            Event::UpstreamEnded(crash) => self.record_end(crash, now),
+            Event::Record(kind) => self.record(kind, now),
+            Event::UpstreamCrashed(crash) => self.record_crash(crash, now),
             Event::Cleared(request) => {
-                self.quarantine.note_answer(request, now.time);
+                self.quarantine.record_answer(request, now.time);
                 self.announce_pending = true;
             }
             Event::Leave => self.leave(now),
@@ -262,7 +263,7 @@
 
     fn handle_pause(&mut self, pause: Duration, now: Now) {
         self.record(Kind::Paused { ms: pause.as_millis() as u64 }, now);
-        self.prober.note_pause(now.time);
+        self.prober.record_pause(now.time);
         // Requests sent before the pause may have timed out; do not wait for them. The fence
         // rejects old versions, so late responses are harmless.
         self.pulling = None;
@@ -295,7 +296,7 @@
     fn handle_response(&mut self, peer: SocketAddr, response: Response, now: Now) {
         match response {
             Response::Heartbeat(heartbeat) => {
-                self.prober.note_success();
+                self.prober.record_success();
                 self.handle_heartbeat(heartbeat, now);
             }
             Response::Pull(bundle) => self.handle_bundle(peer, bundle, now),
@@ -357,7 +358,7 @@
 
     /// Returns a heartbeat that also contains the record of `peer` if that is not live.
     ///
-    /// Only the node itself can refute a suspicion, so it has to learn of it.
+    /// Only the node itself can refute a suspicion, so it has to receive it.
     fn heartbeat_for(&mut self, peer: SocketAddr, now: Now) -> Heartbeat {
         let mut heartbeat = self.heartbeat(now);
         let suspected = self.roster.get(peer).filter(|r| r.state != State::Live);
@@ -401,9 +402,9 @@
         }
     }
 
-    /// Reports the requests that ran when this node's upstream ended.
-    fn record_end(&mut self, crash: Crash, now: Now) {
-        self.quarantine.note_end(&crash, now.time);
+    /// Reports the requests that ran when this node's upstream crashed.
+    fn record_crash(&mut self, crash: Crash, now: Now) {
+        self.quarantine.record_crash(&crash, now.time);
         self.record(Kind::UpstreamEnded { requests: crash.labels() }, now);
         self.announce_pending = true;
     }
--- a/crates/fleet/src/control/fleet.rs
+++ b/crates/fleet/src/control/fleet.rs
@@ -35,7 +35,7 @@
         if is_newer_incarnation || heartbeat.members != self.roster.digest() {
             self.start_sync(heartbeat.from, now);
         } else {
-            self.roster.note_agreement();
+            self.roster.record_agreement();
         }
     }
 
@@ -68,12 +68,12 @@
     }
 
     pub(super) fn suspect(&mut self, peer: SocketAddr, now: Now) {
-        if !self.prober.note_failure(now.time) {
+        if !self.prober.record_failure(now.time) {
             return;
         }
         match self.roster.get(peer).map(|r| r.state) {
             Some(State::Live) => self.set_state(peer, State::Suspect, now),
-            // A leaving node takes no work and does not come back in this incarnation.
+            // A leaving node takes no work and never returns to it in this incarnation.
             Some(State::Leaving) => self.set_state(peer, State::Gone, now),
             _ => {}
         }
--- a/crates/fleet/src/directory.rs
+++ b/crates/fleet/src/directory.rs
@@ -1,9 +1,11 @@
 //! The platform's list of upstreams, replicated to every node.
 //!
-//! Entries and removals carry the platform's revision at which they were written. Copies merge in any
-//! order: the higher revision of an identity wins. A copy is *complete* up to a revision if it holds all
-//! earlier writes, so a holder of revision N lacks exactly [`Directory::since`] N. An upstream may
-//! restart under the same identity; a later start time then replaces the earlier incarnation.
+//! Entries and removals carry the platform's revision of their write. Copies merge in any order: the
+//! higher revision of an identity wins, and the later start time of a restarted upstream. A copy is
+//! *complete* up to a revision if it holds all earlier writes: a holder of revision N lacks exactly
+//! [`Directory::since`] N.
+//!
+//! Invariant *single entry point*: only [`Directory::apply`] and [`Directory::expire`] change the list.
 
 use model::time::Time;
 use serde::{Deserialize, Serialize};
@@ -121,7 +123,7 @@
 }
 
 impl Update {
-    /// Tells whether it contains no change.
+    /// Returns whether it contains no change.
     pub fn is_empty(&self) -> bool {
         self.changes() == 0
     }
@@ -326,7 +328,7 @@
             // A writer that provides start times always does so. This is another writer's value, so
             // the upstream's incarnation cannot be identified.
             None if started.is_some() => return self.delete(&Removal::unusable(&entry), now),
-            // A delayed write of an earlier incarnation.
+            // A delayed write of an earlier incarnation, which may even say that it is leaving.
             started_ms if started_ms < started => return None,
             _ => {}
         }
--- a/crates/fleet/src/fence.rs
+++ b/crates/fleet/src/fence.rs
@@ -1,7 +1,8 @@
 //! The version fence: the configuration version in force, and which version may replace it.
 //!
-//! [`Fence::offer`] is the only way to replace it and takes higher revisions only, so an outdated
-//! platform, a delayed message or a restarted peer cannot bring back an old version.
+//! Invariant *monotonic versions*: only [`Fence::offer`] replaces the version in force, and only by a
+//! higher revision. An outdated platform, a delayed message, a process that was paused or a restarted
+//! peer cannot bring back an old version.
 
 use model::{
     config::{self, Snapshot, Version},
@@ -15,7 +16,7 @@
     status,
 };
 
-/// Most rejected versions remembered.
+/// Maximum number of rejected versions remembered.
 const MAX_REJECTIONS: usize = 16;
 
 /// A version that failed validation.
@@ -83,13 +84,13 @@
 
     /// Replaces the observed revision by the highest one that reachable nodes report.
     ///
-    /// The only holder of a version may have stopped; callers must not be told to wait for it.
+    /// The only holder of a version may have stopped; callers must not be asked to wait for it.
     pub fn reset_observed(&mut self, revision: u64) {
         self.observed = revision;
     }
 
-    /// Tells whether a version with `revision` was rejected.
-    pub fn has_refused(&self, revision: u64) -> bool {
+    /// Returns whether a version with `revision` was rejected.
+    pub fn has_rejected(&self, revision: u64) -> bool {
         self.rejected.iter().any(|r| r.version.revision == revision)
     }
 
@@ -109,7 +110,7 @@
     /// rejected here.
     pub fn expected(&self) -> u64 {
         let known = self.known();
-        if self.has_refused(known) { self.version().revision } else { known }
+        if self.has_rejected(known) { self.version().revision } else { known }
     }
 
     /// Returns the snapshot in force.
@@ -138,12 +139,12 @@
     /// requested size.
     pub fn answer(&self, pull: &Pull) -> Bundle {
         let limit = pull.limit.unwrap_or(usize::MAX);
-        let piece = if pull.buckets.is_empty() {
+        let chunk = if pull.buckets.is_empty() {
             self.set.since_within(pull.have, limit)
         } else {
             self.set.differing_within(&pull.buckets, limit)
         };
-        Bundle { version: self.version(), delta: piece.delta, more: piece.more }
+        Bundle { version: self.version(), delta: chunk.delta, more: chunk.more }
     }
 
     /// Returns the documents in force with `delta` applied.
--- a/crates/fleet/src/listed/reports.rs
+++ b/crates/fleet/src/listed/reports.rs
@@ -13,14 +13,14 @@
 };
 
 impl Control {
-    pub(super) fn record_crash(&mut self, loss: Crash, now: Now) {
-        self.quarantine.note_end(&loss, now.time);
-        self.record(Kind::UpstreamEnded { requests: loss.labels() }, now);
+    pub(super) fn record_crash(&mut self, crash: Crash, now: Now) {
+        self.quarantine.record_crash(&crash, now.time);
+        self.record(Kind::UpstreamEnded { requests: crash.labels() }, now);
         self.send_urgent_reports(now);
     }
 
     pub(super) fn record_cleared(&mut self, request: Fingerprint, now: Now) {
-        self.quarantine.note_answer(request, now.time);
+        self.quarantine.record_answer(request, now.time);
         self.send_urgent_reports(now);
     }
 
@@ -47,7 +47,8 @@
         self.effects.push(Effect::Quarantine(self.quarantine.current().clone()));
     }
 
-    /// Sends the quarantined requests to a node that has just started; its first request may be one of them.
+    /// Sends the quarantined requests to a node that has just started; its first request may be one of
+    /// them.
     pub(super) fn send_reports_to_joiner(&mut self, node: SocketAddr, now: Now) {
         let held = self.quarantine.joiner_reports(now.time);
         self.send_reports(vec![node], held, now);
--- a/crates/fleet/src/listed/watch.rs
+++ b/crates/fleet/src/listed/watch.rs
@@ -32,7 +32,8 @@
     pub outage: Duration,
     /// Initial upper bound of the backoff after a failed call; doubles up to `max_backoff`.
     pub min_backoff: Duration,
-    /// Largest upper bound of the backoff; below the time in which upstreams register again after an outage.
+    /// Largest upper bound of the backoff; below the time in which upstreams register again after an
+    /// outage.
     pub max_backoff: Duration,
 }
 
@@ -91,8 +92,8 @@
         self.settings.readers.div_ceil(data_centres.max(1))
     }
 
-    /// Returns whether an idle node of `rank` in its data centre calls the platform. News of a contact takes
-    /// up to `propagation_delay` longer than in a full mesh.
+    /// Returns whether an idle node of `rank` in its data centre calls the platform. A contact takes
+    /// up to `propagation_delay` longer to propagate than in a full mesh.
     pub(super) fn should_call(
         &self,
         rank: usize,
@@ -120,16 +121,18 @@
     }
 
     /// Records an answer; returns whether it ends a series of failures.
-    pub(super) fn record_success(&mut self, has_news: bool, now: Time) -> bool {
+    pub(super) fn record_success(&mut self, has_changes: bool, now: Time) -> bool {
         self.in_flight = false;
-        self.due = if has_news { now + self.settings.pause } else { now };
+        self.due = if has_changes { now + self.settings.pause } else { now };
         self.failures = 0;
         let failed = self.failing_since.take().is_some();
         self.record_contact(now);
         failed
     }
 
-    /// Records a failed call and backs off with jitter; returns whether it is the first in a series.
+    /// Records a failed call; returns whether it is the first in a series.
+    ///
+    /// The backoff has jitter, so that nodes that failed together do not call together.
     pub(super) fn record_failure(&mut self, now: Time, random: &mut SmallRng) -> bool {
         let doubled = self.settings.min_backoff * 2u32.pow(self.failures.min(8));
         let bound = doubled.min(self.settings.max_backoff);
@@ -156,8 +159,8 @@
 
     /// Records that the platform answered a node, and whether that ends an outage.
     ///
-    /// Contacts of other nodes count too, so that the grace period of removals also applies on nodes that did
-    /// not call during the outage.
+    /// Contacts of other nodes count too, so that the grace period of removals also applies on nodes
+    /// that did not call during the outage.
     fn record_contact(&mut self, at: Time) {
         if self.contact.is_some_and(|contact| at.since(contact) > self.settings.outage) {
             self.recovered_at = Some(at);
--- a/crates/fleet/src/message.rs
+++ b/crates/fleet/src/message.rs
@@ -96,7 +96,7 @@
     pub have: Option<u64>,
 }
 
-/// Gossip digest of a node in listed mode; sent periodically, without a reply.
+/// Gossip digest of a node in list mode; sent periodically, without a reply.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Digest {
     /// The sender.
@@ -126,7 +126,7 @@
     /// Time since the sender last received a message from each other data centre, in ms; only in
     /// fleets too large for every node to gossip with every other within seconds.
     #[serde(default, rename = "h", skip_serializing_if = "BTreeMap::is_empty")]
-    pub heard_ms: BTreeMap<String, u64>,
+    pub contact_ages_ms: BTreeMap<String, u64>,
     /// What other nodes recently reported about themselves.
     #[serde(default, rename = "r", skip_serializing_if = "Vec::is_empty")]
     pub rumours: Vec<Rumour>,
@@ -161,7 +161,7 @@
 }
 
 impl Piggyback {
-    /// Tells whether it contains no changes.
+    /// Returns whether it contains no changes.
     pub fn is_empty(&self) -> bool {
         self.list.is_none() && self.config.is_none()
     }
--- a/crates/fleet/src/roster.rs
+++ b/crates/fleet/src/roster.rs
@@ -1,7 +1,8 @@
 //! The membership table.
 //!
-//! Records change only through [`Roster::learn`] and, for the local node, [`Roster::update_own`], which
-//! keep the bucket digests and the rumour queue consistent with them.
+//! Invariant *single entry point*: only [`Roster::learn`] and, for the record of the local node,
+//! [`Roster::update_own`] add or change records, so that bucket digests and rumour queue stay consistent
+//! with them. [`Roster::prune`] removes tombstones, which have no share in the digests.
 
 use model::time::Time;
 use rand::{RngExt, rngs::SmallRng, seq::IndexedRandom};
@@ -13,7 +14,7 @@
     message::BUCKETS,
 };
 
-/// Most records in one heartbeat.
+/// Maximum number of records in one heartbeat.
 pub const RUMOURS_PER_HEARTBEAT: usize = 6;
 
 /// Records after which an anti-entropy response takes in no further bucket.
@@ -22,7 +23,7 @@
 /// Transmissions of a rumour per binary logarithm of the fleet size.
 const RUMOUR_FACTOR: u32 = 2;
 
-/// Most stopped nodes that are remembered, so that delayed records cannot revive them.
+/// Maximum number of stopped nodes that are remembered, so that delayed records cannot revive them.
 const MAX_TOMBSTONES: usize = 4_096;
 
 /// A record and when its state was entered here.
@@ -195,7 +196,7 @@
     /// Records that another node holds the same records: counts every rumour as transmitted to it.
     ///
     /// This drains the queue quickly after a restart of the whole fleet.
-    pub fn note_agreement(&mut self) {
+    pub fn record_agreement(&mut self) {
         self.rumours.iter_mut().for_each(|rumour| rumour.left -= 1);
         self.rumours.retain(|rumour| rumour.left > 0);
     }
--- a/crates/fleet/src/source.rs
+++ b/crates/fleet/src/source.rs
@@ -1,8 +1,9 @@
 //! Which nodes read the platform, and when.
 //!
-//! The first two nodes of each data centre in rendezvous order read; the others learn from peers. Each
-//! node computes the order from its own membership table, without an election. A standby takes over once
-//! it has not learned of a platform contact for a time that grows with its rank.
+//! The first two nodes of each data centre in rendezvous order read, so that the platform's load does not
+//! grow with the fleet; the others learn from peers. Each node computes the order from its membership
+//! table; a disagreement only adds a reader. A standby takes over after a time without a known platform
+//! contact that grows with its rank.
 
 use model::{document::Delta, fault::Fault, time::Time};
 use rand::{RngExt, rngs::SmallRng};
@@ -26,7 +27,7 @@
 /// Added to [`STANDBY_DELAY`] for each further rank.
 const STANDBY_DELAY_STEP: Duration = Duration::from_millis(500);
 
-/// Most ranks counted for [`STANDBY_DELAY_STEP`].
+/// Maximum number of ranks counted for [`STANDBY_DELAY_STEP`].
 const MAX_STANDBY_STEPS: u32 = 40;
 
 /// Pause after a response without changes.
@@ -232,7 +233,7 @@
         }
     }
 
-    /// Tells whether a call on `topic` is due, and marks it as in flight.
+    /// Returns whether a call on `topic` is due, and marks it as in flight.
     pub fn begin(&mut self, topic: Topic, now: Time) -> bool {
         let call = self.call(topic);
         if call.in_flight || now < call.due {
@@ -245,7 +246,7 @@
     /// Records a response on `topic` to this node, which has this rank.
     ///
     /// Returns whether the previous call failed.
-    pub fn note_success(
+    pub fn record_success(
         &mut self,
         topic: Topic,
         freshness: Freshness,
@@ -259,10 +260,11 @@
         std::mem::replace(&mut self.is_failing, false)
     }
 
-    /// Records a failed call and schedules the next one with exponential backoff and jitter.
+    /// Records a failed call and schedules the next one with exponential backoff, and with jitter, so that
+    /// nodes that failed together do not call together.
     ///
     /// Returns whether this is the first failure in a row.
-    pub fn note_failure(&mut self, topic: Topic, now: Time, random: &mut SmallRng) -> bool {
+    pub fn record_failure(&mut self, topic: Topic, now: Time, random: &mut SmallRng) -> bool {
         let call = self.call(topic);
         let bound = (MIN_BACKOFF * 2u32.pow(call.failures.min(10))).min(MAX_BACKOFF);
         call.failures += 1;
@@ -283,11 +285,11 @@
         };
         let replaces = match self.contact {
             None => true,
-            Some(own) => {
+            Some(known) => {
                 let fresh = |seen: Observation| now.since(seen.at) < STANDBY_DELAY;
-                match (fresh(own), fresh(observed)) {
-                    (true, true) if own.rank != observed.rank => observed.rank < own.rank,
-                    _ => observed.at > own.at,
+                match (fresh(known), fresh(observed)) {
+                    (true, true) if known.rank != observed.rank => observed.rank < known.rank,
+                    _ => observed.at > known.at,
                 }
             }
         };
--- a/crates/fleet/tests/large_fleet.rs
+++ b/crates/fleet/tests/large_fleet.rs
@@ -55,7 +55,7 @@
             net.run(100);
             let missed = |n: &usize| net.target_count(*n) < zones.len();
             let blind: Vec<usize> = (0..zones.len()).filter(missed).collect();
-            assert!(blind.is_empty(), "{places} places of {part}: {blind:?} miss somebody");
+            assert!(blind.is_empty(), "{places} places of {part}: {blind:?} miss a node");
         }
     }
 }
@@ -240,7 +240,10 @@
             link_mbps: u32::MAX,
             failing: false,
             leaving: false,
-            heard_ms: BTreeMap::from([("a".to_owned(), u64::MAX), ("nowhere".to_owned(), 0)]),
+            contact_ages_ms: BTreeMap::from([
+                ("a".to_owned(), u64::MAX),
+                ("nowhere".to_owned(), 0),
+            ]),
             rumours: (0..50).flat_map(|n| [about(n), unknown(n)]).collect(),
             piggyback: Piggyback::default(),
             reports: Vec::new(),
--- a/crates/fleet/tests/net/mod.rs
+++ b/crates/fleet/tests/net/mod.rs
@@ -516,8 +516,8 @@
             return self.fail(node, incarnation, CALL_TIMEOUT_MS, failure);
         }
         let Query::Changes { after, .. } = query else { return };
-        let forgotten = after.is_some_and(|after| self.store.is_compacted(after));
-        if forgotten {
+        let compacted = after.is_some_and(|after| self.store.is_compacted(after));
+        if compacted {
             return self.fail(node, incarnation, 1, Failure::Compacted);
         }
         let changeset = self.store.changeset(after);
@@ -543,7 +543,7 @@
         link_mbps,
         failing,
         leaving,
-        heard_ms: BTreeMap::new(),
+        contact_ages_ms: BTreeMap::new(),
         rumours: Vec::new(),
         piggyback: Piggyback::default(),
         reports: Vec::new(),
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -1,7 +1,8 @@
 //! Admission at the serving node: a concurrency limit and a bounded priority queue per upstream.
 //!
-//! A call that cannot start in time is refused at once. Nested calls go before external ones while
-//! they hold at most half of the slots, since without them the work of their parents is lost.
+//! A call that cannot start in time is refused at once, so that the upstream does not work for callers
+//! that have given up. Nested calls go before external ones while they hold at most half of the slots,
+//! since without them the work of their parents is lost.
 
 use model::time::Time;
 use std::{
@@ -166,7 +167,7 @@
         Decision::Wait(until)
     }
 
-    /// Tells whether a call of `rank` would get a slot or a place in the queue.
+    /// Returns whether a call of `rank` would get a slot or a place in the queue.
     pub fn would_admit(&self, rank: Rank, now: Time, deadline: Time, queue_limit: usize) -> bool {
         if self.busy < self.slots && self.token_wait(1, now).is_zero() {
             return true;
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     latency::Estimate,
-    outcome::{Cause, Doubt, Outcome},
+    outcome::{Cause, Outcome, Uncertainty},
 };
 
 /// Initial retries of a service without calls.
@@ -111,7 +111,8 @@
 
 /// Decides whether to retry a failed attempt; the caller checks the deadline.
 ///
-/// A call with an unknown outcome is retried only if it is idempotent.
+/// A call with an unknown outcome is retried only if it is idempotent: a second run could, for
+/// example, post a payment twice.
 pub fn decide(attempt: Attempt, budget: &mut Budget) -> Step {
     if attempt.made >= attempt.limit {
         return Step::GiveUp;
@@ -159,10 +160,10 @@
     Step::Retry
 }
 
-/// Upper bound of serving nodes that one call is offered to.
+/// Upper bound of serving nodes that one call is offered to; each refusal costs a round trip.
 const MAX_OFFERS: usize = 4;
 
-/// Tells whether a call with so many offers may be offered once more.
+/// Returns whether a call with so many offers may be offered once more.
 ///
 /// ```
 /// use policy::retry::may_offer;
@@ -173,7 +174,7 @@
     offers < MAX_OFFERS
 }
 
-/// Tells whether the call may have reached the upstream.
+/// Returns whether the call may have reached the upstream.
 pub fn may_have_reached_upstream(outcome: Outcome) -> bool {
     match outcome {
         Outcome::NotRun(cause, _) => matches!(cause, Cause::Refused | Cause::Replaced),
@@ -202,12 +203,12 @@
 }
 
 /// Outcome of an attempt without an answer so far.
-pub const TIMED_OUT: Outcome = Outcome::Unknown(Doubt::Timeout);
+pub const TIMED_OUT: Outcome = Outcome::Unknown(Uncertainty::Timeout);
 
 /// Failure share above which a missing answer is assumed lost; two lost answers in a row exceed it.
 const LOSS_THRESHOLD: f64 = 0.15;
 
-/// Least time given to an upstream that loses answers, as a multiple of the mean latency.
+/// Minimum time given to an upstream that loses answers, as a multiple of the mean latency.
 const MIN_LOSS_FACTOR: f64 = 1.5;
 
 /// State of a first attempt that may be hedged.
@@ -267,7 +268,7 @@
     Once,
 }
 
-/// Tells whether another upstream may accept the call.
+/// Returns whether another upstream may accept the call.
 fn is_retryable(cause: Cause) -> bool {
     match cause {
         Cause::Overloaded
@@ -289,7 +290,7 @@
     }
 }
 
-/// Tells whether the failed attempt may have put load on the service.
+/// Returns whether the failed attempt may have put load on the service.
 ///
 /// Attempts that did not reach an upstream, or that its node refused, are retried without the
 /// budget.
--- a/crates/policy/tests/outcome.rs
+++ b/crates/policy/tests/outcome.rs
@@ -1,6 +1,6 @@
 //! Outcome of each way of losing a call at each step.
 
-use policy::outcome::{Cause, Doubt, Loss, Outcome, STEPS, Step, of_loss};
+use policy::outcome::{Cause, Loss, Outcome, STEPS, Step, Uncertainty, of_loss};
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Expected {
@@ -18,7 +18,7 @@
     assert_eq!(outcomes, expect, "{step:?}");
 }
 
-/// Guards against a payment that runs twice: its caller was told "not run" although the upstream
+/// Guards against a payment that runs twice: its caller received "not run" although the upstream
 /// had received it.
 #[test]
 fn not_run_is_returned_only_if_proven() {
@@ -38,8 +38,8 @@
     for cause in ["overloaded", "leaving", "late", "paused", "replaced", "no-upstream"] {
         assert_eq!(Cause::parse(cause).map(Cause::name), Some(cause));
     }
-    for doubt in ["broken", "timeout", "bad-answer"] {
-        assert_eq!(Doubt::parse(doubt).map(Doubt::name), Some(doubt));
+    for name in ["broken", "timeout", "bad-answer"] {
+        assert_eq!(Uncertainty::parse(name).map(Uncertainty::name), Some(name));
     }
     assert_eq!(Cause::parse("whatever"), None);
 }
@@ -48,7 +48,8 @@
 /// run and lost its answer.
 #[test]
 fn later_refusal_does_not_hide_an_earlier_unknown_outcome() {
-    let (lost, broken) = (Outcome::Unknown(Doubt::Timeout), Outcome::Unknown(Doubt::Broken));
+    let (lost, broken) =
+        (Outcome::Unknown(Uncertainty::Timeout), Outcome::Unknown(Uncertainty::Broken));
     let (full, late) = (Cause::Overloaded.outcome(), Cause::Late.outcome());
     assert_eq!(full.after(lost), lost);
     assert_eq!(late.after(full), late);
--- a/crates/standins/src/queueing/simulation.rs
+++ b/crates/standins/src/queueing/simulation.rs
@@ -1,6 +1,7 @@
 //! State and event loop of the queueing model.
 //!
-//! Invariant: state changes only when [`Simulation::apply`] handles an [`Event`] from the queue.
+//! Invariant *single entry point*: only [`Simulation::apply`], which handles one [`Event`] of the queue,
+//! changes the state.
 
 use model::time::Time;
 use policy::{
@@ -9,7 +10,7 @@
     client_retry::Attempt,
     health::{Load, Record, Sample},
     latency::Estimate,
-    outcome::{Cause, Doubt, Outcome},
+    outcome::{Cause, Outcome, Uncertainty},
     placement::Locality,
     retry::{self, Hedge, Kind},
     urgency::{self, Origin, Parent, Timing},
@@ -450,7 +451,7 @@
     /// Offers a call again after a failure or refusal, or ends it.
     fn retry_or_end(&mut self, key: CallKey, reply: Reply) {
         let outcome = match reply {
-            Reply::Failed => Outcome::Unknown(Doubt::Broken),
+            Reply::Failed => Outcome::Unknown(Uncertainty::Broken),
             Reply::Answered | Reply::Refused => Cause::Overloaded.outcome(),
         };
         if self.may_retry(key, outcome) {
--- a/crates/traffic/src/proxy/services.rs
+++ b/crates/traffic/src/proxy/services.rs
@@ -34,7 +34,9 @@
         for (name, service) in services.iter_mut() {
             let known = view.upstreams(name);
             let is_known = |key: &Incarnation| known.iter().any(|u| Incarnation::of(u) == *key);
-            service.upstreams.retain(|life, record| is_known(life) || record.in_flight() > 0);
+            service
+                .upstreams
+                .retain(|incarnation, record| is_known(incarnation) || record.in_flight() > 0);
         }
         // Slow start begins when an upstream becomes known, not with its first call.
         for (name, service) in services.iter_mut() {
@@ -65,7 +67,7 @@
 struct Incarnation {
     /// Address of its node.
     address: SocketAddr,
-    /// Incarnation of the node if the upstream has no identity of its own, otherwise 0.
+    /// Incarnation of the node if the upstream has no identity, otherwise 0.
     incarnation: u64,
     identity: Option<Arc<str>>,
     /// Start of the process, in ms of Unix time; an upstream may restart under its identity.
--- a/xtask/src/bench/overload.rs
+++ b/xtask/src/bench/overload.rs
@@ -8,7 +8,7 @@
     admission::{Decision, Limiter, Ticket},
     choice::{Candidate, Reach, choose},
     health::{Record, Sample},
-    outcome::{Cause, Doubt, Outcome},
+    outcome::{Cause, Outcome, Uncertainty},
     retry::{Attempt, Budget, Kind, Step, decide},
 };
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
@@ -219,7 +219,7 @@
         let elapsed = self.now.since(call.started);
         if self.scenario.failing {
             self.records[upstream].end(self.now, Sample::Failed);
-            if self.may_retry(Outcome::Unknown(Doubt::Broken), call.attempts) {
+            if self.may_retry(Outcome::Unknown(Uncertainty::Broken), call.attempts) {
                 return self.dispatch(id);
             }
             return self.abandon(id);
