--- a/crates/baobabctl/src/fleet.rs
+++ b/crates/baobabctl/src/fleet.rs
@@ -107,8 +107,8 @@
     std::iter::once(header).chain(data_centres.iter().map(line)).collect()
 }
 
-/// Returns a line for each node that is behind, is not live, does not answer or reads an outdated
-/// platform.
+/// Returns a line for each node that is behind, is not live, does not answer or reads from a platform
+/// that serves an outdated revision.
 fn attention(fleet: &Fleet, newest: u64) -> Vec<String> {
     let mut lines = Vec::new();
     for node in &fleet.answered {
--- a/crates/model/src/config.rs
+++ b/crates/model/src/config.rs
@@ -35,7 +35,7 @@
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 pub struct Version {
-    /// Revision on the platform; 0 before any configuration is active.
+    /// Revision on the platform; 0 before any configuration is in force.
     pub revision: u64,
     /// Digest of all documents at that revision.
     pub digest: crate::document::Digest,
@@ -129,8 +129,8 @@
 /// Builds the snapshot of `set` like [`build`], reusing the parsed routes of `previous` whose
 /// documents are unchanged.
 ///
-/// Parsing a large configuration blocks the core from serving calls, and most versions change only
-/// a few routes.
+/// Parsing a large configuration takes CPU time from calls, and most versions change only a few
+/// routes.
 pub fn rebuild(previous: &Snapshot, set: &Set) -> Result<Snapshot, Vec<Fault>> {
     let mut faults = check_sizes(set);
     if !faults.is_empty() {
--- a/crates/model/src/document.rs
+++ b/crates/model/src/document.rs
@@ -21,10 +21,10 @@
 /// Lower bound on the mean size of a document on the platform, in bytes; a minimal route is larger.
 const MIN_DOCUMENT_BYTES: usize = 64;
 
-/// Maximum number of documents in one revision.
+/// Maximum number of documents in one revision: as many as fit into one value of the platform.
 ///
 /// Must not be less than the platform accepts, since nodes that reject a revision keep serving the
-/// previous one. Bounds the memory per document, most of which [`MAX_SET_BYTES`] does not count.
+/// previous one. Bounds the memory overhead of documents, which [`MAX_SET_BYTES`] does not count.
 pub const MAX_DOCUMENTS: usize = MAX_DOCUMENT_BYTES / MIN_DOCUMENT_BYTES;
 
 /// Number of hash buckets into which documents are divided by key for anti-entropy.
@@ -240,8 +240,8 @@
         self.differing_within(theirs, usize::MAX).delta
     }
 
-    /// Returns like [`Set::differing`] the first differing buckets, up to a total of `limit` bytes
-    /// but at least one.
+    /// Like [`Set::differing`], but returns only the first differing buckets: at least one, and no
+    /// more than fit into `limit` bytes.
     pub fn differing_within(&self, theirs: &[u64], limit: usize) -> Chunk {
         let own = self.buckets();
         let mut sizes = [0; BUCKETS];
--- a/crates/model/src/time.rs
+++ b/crates/model/src/time.rs
@@ -1,6 +1,6 @@
 //! Monotonic time of one process.
 //!
-//! Code that decides takes a [`Time`] instead of reading a clock, so tests use a virtual clock and
+//! Decision logic takes a [`Time`] instead of reading a clock, so that tests use a virtual clock and
 //! are deterministic.
 
 use std::{ops::Add, time::Duration};
--- a/crates/source/src/lib.rs
+++ b/crates/source/src/lib.rs
@@ -103,12 +103,12 @@
                 let wait = after.map_or(Duration::ZERO, |_| wait);
                 let after = after.unwrap_or(0);
                 let path = format!("/v1/news?after={after}&wait_ms={}", wait.as_millis());
-                let unchanged = |revision| Answer::Changes(unchanged_bulletin(revision, after));
+                let unchanged = |revision| Answer::Changes(unchanged_changeset(revision, after));
                 match self.get(&path, wait) {
                     Ok(Response::Unchanged(revision)) => unchanged(revision),
                     Ok(Response::Body(text)) => {
-                        let news = parse::<Changeset>(&text).map(Answer::Changes);
-                        news.unwrap_or_else(|error| {
+                        let answer = parse::<Changeset>(&text).map(Answer::Changes);
+                        answer.unwrap_or_else(|error| {
                             Answer::Failed(Topic::Changes, to_failure(error))
                         })
                     }
@@ -132,7 +132,7 @@
     }
 }
 
-fn unchanged_bulletin(revision: u64, after: u64) -> Changeset {
+fn unchanged_changeset(revision: u64, after: u64) -> Changeset {
     let revision = revision.max(after);
     let list = Update { revision, base: Some(after), ..Update::default() };
     Changeset { revision, list, ..Changeset::default() }
--- a/crates/standins/src/mesh.rs
+++ b/crates/standins/src/mesh.rs
@@ -85,7 +85,7 @@
     pub traffic: SocketAddr,
     /// Node's listen address for other nodes.
     pub peers: SocketAddr,
-    /// Node's listen address for operators: status pages and metrics.
+    /// Listen address of the node's operators' HTTP endpoint.
     pub operators: SocketAddr,
     /// Upstream, which runs in this process.
     pub upstream: Upstream,
@@ -203,7 +203,8 @@
         self.instances[number].process.as_ref().map(Child::id)
     }
 
-    /// Returns the body of a page of a node's operators' listener.
+    /// Returns the body of a page of a node's operators' HTTP endpoint, or `None` unless its status is
+    /// 200.
     pub fn page(&self, number: usize, path: &str) -> Option<String> {
         page(self.instances[number].operators, path)
     }
@@ -258,7 +259,7 @@
         for instance in &self.instances {
             let is_same_data_centre =
                 |other: &&&Instance| other.place.data_centre == instance.place.data_centre;
-            let previous = self.instances.iter().take_while(|s| s.peers != instance.peers);
+            let previous = self.instances.iter().take_while(|other| other.peers != instance.peers);
             if previous.collect::<Vec<_>>().iter().filter(is_same_data_centre).count()
                 < SEEDS_PER_DATA_CENTRE
             {
--- a/crates/standins/src/queueing/report.rs
+++ b/crates/standins/src/queueing/report.rs
@@ -19,7 +19,7 @@
     pub refused_again: u64,
     /// Refusals received later than an eighth of the objective after the attempt.
     pub late_refusals: u64,
-    /// Utility if every caller was answered in time.
+    /// Utility if every caller had been answered in time.
     pub max_utility: f64,
     /// Utility of the answers.
     pub utility: f64,
--- a/crates/standins/src/queueing/simulation.rs
+++ b/crates/standins/src/queueing/simulation.rs
@@ -30,7 +30,7 @@
 /// Maximum number of upstreams that may run a call.
 const MAX_REACHED: u32 = 3;
 
-/// Maximum length of an upstream's queue.
+/// Capacity of an upstream's queue, in calls.
 const MAX_QUEUE: usize = 64;
 
 /// One-way delay between an entry node and its colocated upstream.
--- a/crates/standins/src/simulation.rs
+++ b/crates/standins/src/simulation.rs
@@ -381,8 +381,10 @@
     pub fn run_until_in_force(&mut self, revision: u64, limit: Duration) -> Option<Duration> {
         let started = self.now;
         while self.now.since(started) < limit {
-            let is_converged =
-                self.nodes.iter().all(|s| s.control.is_none() || s.in_force.revision >= revision);
+            let is_converged = self
+                .nodes
+                .iter()
+                .all(|node| node.control.is_none() || node.in_force.revision >= revision);
             if is_converged {
                 return Some(self.now.since(started));
             }
--- a/crates/standins/src/upstream.rs
+++ b/crates/standins/src/upstream.rs
@@ -190,15 +190,15 @@
 
     /// Simulates a crash, and restarts after [`RESTART_DELAY`] unless killed meanwhile.
     fn crash(&self) {
-        let server = self.clone();
+        let upstream = self.clone();
         tokio::spawn(async move {
-            server.lock().ledger.crashes.push(Instant::now());
-            server.kill();
-            let kills = server.lock().kills;
+            upstream.lock().ledger.crashes.push(Instant::now());
+            upstream.kill();
+            let kills = upstream.lock().kills;
             sleep(RESTART_DELAY).await;
-            while server.lock().kills == kills {
-                if let Ok(listener) = TcpListener::bind(server.address).await {
-                    return server.serve_on(listener);
+            while upstream.lock().kills == kills {
+                if let Ok(listener) = TcpListener::bind(upstream.address).await {
+                    return upstream.serve_on(listener);
                 }
                 sleep(REBIND_INTERVAL).await;
             }
@@ -222,10 +222,10 @@
 
     async fn accept(self, listener: TcpListener) {
         while let Ok((stream, _)) = listener.accept().await {
-            let server = self.clone();
+            let upstream = self.clone();
             let task = tokio::spawn(async move {
                 // An I/O error only ends this connection; the client sees it too.
-                let _ = server.serve(stream).await;
+                let _ = upstream.serve(stream).await;
             });
             let mut state = self.lock();
             state.tasks.retain(|t| !t.is_finished());
--- a/crates/telemetry/src/metric.rs
+++ b/crates/telemetry/src/metric.rs
@@ -275,7 +275,7 @@
         self.quarantined.record(requests, &[]);
     }
 
-    /// Sets the active revision.
+    /// Sets the revision in force.
     pub fn set_revision(&self, revision: u64) {
         self.revision.record(revision, &[]);
     }
@@ -323,7 +323,7 @@
     /// Renders all metrics as Prometheus text, histograms last.
     ///
     /// Histograms grow with the number of services. A reader that truncates the text still gets the
-    /// single-line metrics, such as the active revision.
+    /// single-line metrics, such as the revision in force.
     pub fn render(&self) -> Result<String, Error> {
         let mut families = self.registry.gather();
         families.sort_by_key(|family| family.get_field_type() == MetricType::HISTOGRAM);
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -37,7 +37,7 @@
         service: String,
         /// Revision of the configuration used.
         revision: u64,
-        /// Whether the caller is the entry node's local upstream.
+        /// Whether the caller is the entry node's colocated upstream.
         nested: bool,
         /// Time since the caller's first attempt, in ms, if known.
         elapsed_ms: u64,
