--- a/crates/baobabrelayd/src/main.rs
+++ b/crates/baobabrelayd/src/main.rs
@@ -23,6 +23,7 @@
 exit status: 0 success, 1 the node could not start, 2 invalid usage or settings
 ";
 
+/// Exit status for invalid usage or settings.
 const INVALID_USAGE: u8 = 2;
 
 fn main() -> ExitCode {
@@ -70,7 +71,7 @@
 fn run(file: &str, settings: &settings::Settings) -> ExitCode {
     let signals = match Signals::register() {
         Ok(signals) => signals,
-        Err(error) => return fail(&error.to_string()),
+        Err(error) => return fail(&format!("cannot install signal handlers: {error}")),
     };
     match Node::start(settings) {
         Ok(node) => reload::run(signals, node, file, &|text| parse(file, text)),
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -36,8 +36,8 @@
 /// Interval at which events of `traffic` are collected and gauges updated.
 const COLLECT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Queued messages to the control thread. Requests of other nodes beyond that get no response, which
-/// the sender counts as a failed probe.
+/// Capacity of the control thread's queue, in messages. Requests of other nodes that exceed it get no
+/// response, which the sender counts as a failed probe.
 const QUEUE_CAPACITY: usize = 4_096;
 
 /// Member states and their labels in the gauge of members.
@@ -340,8 +340,9 @@
             Query::List { .. } => (&self.list_reader, Topic::List),
         };
         if reader.try_send(query).is_err() {
-            // The state machine gave up an earlier call that still blocks this thread.
-            let failure = Failure::Unreachable("an earlier call has not returned".to_owned());
+            // The reader thread is still blocked by an earlier call that the state machine gave up.
+            let failure =
+                Failure::Unreachable("an earlier call to the platform has not returned".to_owned());
             self.apply(Event::Source(Answer::Failed(topic, failure)), None);
         }
     }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -52,7 +52,7 @@
 #[derive(Debug, Snafu)]
 pub enum Error {
     /// A thread, its runtime or its socket could not be created.
-    #[snafu(display("cannot start a thread: {source}"))]
+    #[snafu(display("cannot start a thread or open its socket: {source}"))]
     Thread {
         /// Error of the operating system.
         source: io::Error,
--- a/crates/node/src/operators.rs
+++ b/crates/node/src/operators.rs
@@ -21,7 +21,7 @@
 /// Timeout of a request to another node.
 const PEER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Concurrent requests to other nodes.
+/// Maximum number of concurrent requests to other nodes.
 const MAX_CONCURRENT_REQUESTS: usize = 64;
 
 /// Data sources of the endpoint.
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -10,7 +10,7 @@
 
 use crate::{Node, settings::Settings};
 
-/// Interval at which signals are polled; bounds the delay of a planned stop.
+/// Interval at which signals are polled; bounds the delay before a planned stop.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Signal polls per read of the settings file, which is thus read every 3 s.
@@ -47,7 +47,7 @@
         if pending.is_empty() && polls % POLLS_PER_READ != 0 {
             continue;
         }
-        // The file may be missing while it is being replaced; the next poll reads it.
+        // The file may be missing while it is being replaced; a later poll reads it.
         let Ok(text) = fs::read_to_string(path) else { continue };
         if text == current && pending.is_empty() {
             continue;
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -257,8 +257,8 @@
         precision: default.precision,
     });
     let is_known = |text: &str| matches!(text, "seconds" | "milliseconds");
-    let shape = "\"seconds\" or \"milliseconds\"";
-    match object.optional_text("retry_after", shape, is_known).as_deref() {
+    let format = "\"seconds\" or \"milliseconds\"";
+    match object.optional_text("retry_after", format, is_known).as_deref() {
         Some("milliseconds") => Names { precision: Precision::Millis, ..names },
         _ => names,
     }
@@ -293,26 +293,26 @@
 
 fn optional_address(object: &mut Object<'_>, name: &str) -> Option<SocketAddr> {
     let is_valid = |text: &str| text.parse::<SocketAddr>().is_ok();
-    object.optional_text(name, ADDRESS_SHAPE, is_valid)?.parse().ok()
+    object.optional_text(name, ADDRESS_FORMAT, is_valid)?.parse().ok()
 }
 
 fn address(object: &mut Object<'_>, name: &str) -> SocketAddr {
-    let text = object.text(name, ADDRESS_SHAPE, |text| text.parse::<SocketAddr>().is_ok());
+    let text = object.text(name, ADDRESS_FORMAT, |text| text.parse::<SocketAddr>().is_ok());
     text.parse().unwrap_or(PLACEHOLDER_ADDRESS)
 }
 
 fn seeds(object: &mut Object<'_>) -> Vec<SocketAddr> {
     let is_valid = |text: &str| text.parse::<SocketAddr>().is_ok();
-    let texts = object.texts("contacts", ADDRESS_SHAPE, is_valid, &[]);
+    let texts = object.texts("contacts", ADDRESS_FORMAT, is_valid, &[]);
     texts.iter().filter_map(|text| text.parse().ok()).collect()
 }
 
 fn dissemination(object: &mut Object<'_>) -> Dissemination {
     let find =
         |text: &str| DISSEMINATIONS.iter().find(|(name, _)| *name == text).map(|(_, kind)| *kind);
-    let shape = "\"epidemic\", \"tree\" or \"pull\"";
-    let text = object.optional_text("plan", shape, |text| find(text).is_some());
+    let format = "\"epidemic\", \"tree\" or \"pull\"";
+    let text = object.optional_text("plan", format, |text| find(text).is_some());
     text.and_then(|text| find(&text)).unwrap_or(Dissemination::Epidemic)
 }
 
-const ADDRESS_SHAPE: &str = "an address such as \"127.0.0.1:7000\"";
+const ADDRESS_FORMAT: &str = "an address such as \"127.0.0.1:7000\"";
--- a/crates/node/src/settings/fields.rs
+++ b/crates/node/src/settings/fields.rs
@@ -194,7 +194,12 @@
         "100",
         "calls that may reach a cold upstream in any second, relative to the rate in its service's configuration",
     ),
-    optional("/cold_excess/slack", "1 to 1000000 calls", "1", "calls allowed in addition to that"),
+    optional(
+        "/cold_excess/slack",
+        "1 to 1000000 calls",
+        "1",
+        "calls allowed in addition to the percentage",
+    ),
     optional(
         "/stop/linger_ms",
         "0 to 600000 ms",
--- a/crates/node/src/stop.rs
+++ b/crates/node/src/stop.rs
@@ -21,8 +21,8 @@
 impl Node {
     /// Announces the stop to callers and other nodes, drains calls in flight and returns.
     ///
-    /// Calls still in flight after the profile's `drain_ms` are dropped, so that a caller that never
-    /// reads its answer cannot block the stop.
+    /// Calls still in flight after the profile's `drain_ms` or the settings' `limit_ms`, whichever ends
+    /// first, are dropped, so that a caller that never reads its answer cannot block the stop.
     pub fn stop(self) {
         let signalled = Instant::now();
         self.log_step("begun", signalled);
--- a/crates/peer/src/compressed.rs
+++ b/crates/peer/src/compressed.rs
@@ -95,7 +95,7 @@
     }
 }
 
-/// Cache of compressed bundles; after a restart or a change, many nodes pull the same ones.
+/// Cache of compressed bundles; after a mass restart or a change, many nodes pull the same ones.
 #[derive(Debug, Default)]
 pub(crate) struct Cache {
     entries: Mutex<VecDeque<(Key, Message)>>,
--- a/crates/peer/src/datagram.rs
+++ b/crates/peer/src/datagram.rs
@@ -19,7 +19,7 @@
     /// The socket could not be bound.
     #[snafu(display("cannot bind UDP socket at {address}: {source}"))]
     Bind {
-        /// The address.
+        /// Address that could not be bound.
         address: SocketAddr,
         /// Error of the operating system.
         source: io::Error,
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -53,7 +53,7 @@
 /// Failure of a call to another node.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// No complete response within the timeout.
+    /// No complete response within the timeout, or an error response.
     #[snafu(display("no response: {source}"))]
     NoResponse {
         /// Error of the JSON-RPC client.
@@ -72,8 +72,10 @@
         source: compressed::Error,
     },
     /// The server could not listen on its address.
-    #[snafu(display("cannot listen: {source}"))]
+    #[snafu(display("cannot listen at {address}: {source}"))]
     Listen {
+        /// Address that could not be bound.
+        address: SocketAddr,
         /// Error of the operating system.
         source: std::io::Error,
     },
@@ -90,8 +92,9 @@
         .max_connections(MAX_CONNECTIONS)
         .http_only()
         .build();
-    let server = ServerBuilder::with_config(config).build(address).await.context(ListenSnafu)?;
-    let address = server.local_addr().context(ListenSnafu)?;
+    let server =
+        ServerBuilder::with_config(config).build(address).await.context(ListenSnafu { address })?;
+    let address = server.local_addr().context(ListenSnafu { address })?;
     Ok((address, server.start(rpc_module(handler))))
 }
 
@@ -102,8 +105,8 @@
     timeout: Duration,
 ) -> Result<Response, Error> {
     match request {
-        Request::Heartbeat(beat) => {
-            call(peer, "beat", beat, timeout).await.map(Response::Heartbeat)
+        Request::Heartbeat(heartbeat) => {
+            call(peer, "beat", heartbeat, timeout).await.map(Response::Heartbeat)
         }
         Request::Pull(pull) => pull_compressed(peer, pull, timeout).await.map(Response::Pull),
         Request::Sync(sync) => call(peer, "sync", sync, timeout).await.map(Response::Sync),
@@ -180,9 +183,9 @@
 
 fn rpc_module(handler: Arc<dyn Handler>) -> RpcModule<Arc<dyn Handler>> {
     let mut module = RpcModule::new(handler);
-    register::<Heartbeat, Heartbeat>(&mut module, "beat", |handler, beat| {
-        map_reply(handler.handle(Request::Heartbeat(beat)), |response| match response {
-            Response::Heartbeat(beat) => Some(beat),
+    register::<Heartbeat, Heartbeat>(&mut module, "beat", |handler, heartbeat| {
+        map_reply(handler.handle(Request::Heartbeat(heartbeat)), |response| match response {
+            Response::Heartbeat(heartbeat) => Some(heartbeat),
             _ => None,
         })
     });
--- a/crates/telemetry/src/log.rs
+++ b/crates/telemetry/src/log.rs
@@ -1,8 +1,8 @@
 //! Logs as JSON lines on standard output.
 //!
 //! Logging never blocks, even if the reader of standard output does not read: lines go through a
-//! bounded queue to a thread that writes them in batches. Lines that exceed the queue are dropped
-//! and counted.
+//! bounded queue to a thread that writes them in batches. Lines that do not fit into it are
+//! dropped and counted.
 
 use crossbeam::channel::{self, Receiver, Sender, TrySendError};
 use fleet::timeline::Event;
@@ -57,7 +57,11 @@
 pub fn line<T: Serialize>(value: &T) {
     match serde_json::to_string(value) {
         Ok(text) => log::info!("{text}"),
-        Err(error) => message(log::Level::Error, "", &format!("cannot serialize a line: {error}")),
+        Err(error) => message(
+            log::Level::Error,
+            "",
+            &format!("cannot serialize a log line, which is dropped: {error}"),
+        ),
     }
 }
 
