--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -53,7 +53,7 @@
 /// Failure of a call to another node.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// No complete response within the timeout.
+    /// No complete response within the timeout, or an error response.
     #[snafu(display("no response: {source}"))]
     NoResponse {
         /// Error of the JSON-RPC client.
@@ -72,8 +72,10 @@
         source: compressed::Error,
     },
     /// The server could not listen on its address.
-    #[snafu(display("cannot listen: {source}"))]
+    #[snafu(display("cannot listen at {address}: {source}"))]
     Listen {
+        /// Address that could not be bound.
+        address: SocketAddr,
         /// Error of the operating system.
         source: std::io::Error,
     },
@@ -90,8 +92,9 @@
         .max_connections(MAX_CONNECTIONS)
         .http_only()
         .build();
-    let server = ServerBuilder::with_config(config).build(address).await.context(ListenSnafu)?;
-    let address = server.local_addr().context(ListenSnafu)?;
+    let server =
+        ServerBuilder::with_config(config).build(address).await.context(ListenSnafu { address })?;
+    let address = server.local_addr().context(ListenSnafu { address })?;
     Ok((address, server.start(rpc_module(handler))))
 }
 
