--- a/crates/fleet/src/listed.rs
+++ b/crates/fleet/src/listed.rs
@@ -271,7 +271,7 @@
         let response = match request {
             Request::Pull(pull) => Response::Pull(self.fence.answer(&pull)),
             Request::Fetch(fetch) => Response::Fetch(self.directory.since(fetch.have, now.time)),
-            // Only the gossip discovery mode uses these.
+            // Only gossip mode uses these.
             Request::Heartbeat(_) | Request::Sync(_) => return,
         };
         self.effects.push(Effect::Reply(response));
--- a/crates/traffic/src/proxy/explain.rs
+++ b/crates/traffic/src/proxy/explain.rs
@@ -11,7 +11,7 @@
         let now = self.clock.now();
         let spill = self.spills(service);
         let upstreams = view.upstreams(service);
-        let near_able = upstreams.iter().any(|u| u.near && u.state.takes_work());
+        let has_local = upstreams.iter().any(|u| u.near && u.state.takes_work());
         let mut all = Vec::new();
         for upstream in upstreams {
             let record = self.services.with(service, |s| s.record(upstream, now).clone());
@@ -32,7 +32,7 @@
                 _ if !upstream.near && !spill => {
                     (false, "profile restricts calls to this data centre".to_owned())
                 }
-                _ if !upstream.near && near_able => {
+                _ if !upstream.near && has_local => {
                     (false, "upstreams are available in this data centre".to_owned())
                 }
                 State::Suspect => (true, "suspected, not yet unreachable".to_owned()),
--- a/crates/traffic/src/upstream/validation.rs
+++ b/crates/traffic/src/upstream/validation.rs
@@ -7,7 +7,7 @@
 
 /// Returns whether the request id that an answer echoes is that of the call.
 ///
-/// Detects answers that are crossed, duplicated or late, which HTTP/1.1 alone cannot detect.
+/// Detects answers that are crossed, duplicated or late; HTTP/1.1 has no means of its own for that.
 pub(super) fn matches_request<T>(proxy: &Proxy, offer: &Offer, head: &Response<T>) -> bool {
     let Some(name) = &proxy.settings.names.request else {
         return match wire::read_number(head.headers(), wire::ID) {
