--- a/crates/baobabctl/tests/fleet.rs
+++ b/crates/baobabctl/tests/fleet.rs
@@ -42,7 +42,7 @@
     })
 }
 
-fn silent(number: usize) -> Value {
+fn unreachable_node(number: usize) -> Value {
     json!({
         "instance": format!("i-{number}"),
         "address": "10.0.0.1:7000",
@@ -67,13 +67,15 @@
 }
 
 /// Returns the exit status and output of `baobabctl status` for a fleet with `behind` outdated nodes
-/// and `silent_nodes` that do not answer.
-fn status(behind: usize, silent_nodes: usize, flags: &[&str]) -> (Option<i32>, Vec<String>) {
+/// and `unreachable` nodes that do not answer.
+fn status(behind: usize, unreachable: usize, flags: &[&str]) -> (Option<i32>, Vec<String>) {
     let revision = |number| if number < behind { NEWEST - 3 } else { NEWEST };
     let answered: Vec<Value> =
-        (0..NODES - silent_nodes).map(|number| node(number, revision(number))).collect();
-    let unanswered: Vec<Value> = (NODES - silent_nodes..NODES).map(silent).collect();
-    let fleet = json!({ "node": node(0, NEWEST), "answered": answered, "silent": unanswered });
+        (0..NODES - unreachable).map(|number| node(number, revision(number))).collect();
+    let unreachable_nodes: Vec<Value> =
+        (NODES - unreachable..NODES).map(unreachable_node).collect();
+    let fleet =
+        json!({ "node": node(0, NEWEST), "answered": answered, "silent": unreachable_nodes });
     let address = serve(&fleet);
     let mut command = Command::new(env!("CARGO_BIN_EXE_baobabctl"));
     let output = command.args(["status", "--node", &address]).args(flags).output();
@@ -85,25 +87,25 @@
 /// Guards against one line per node, which would hide the nodes that need attention.
 #[test]
 fn status_of_hundreds_of_nodes_fits_on_one_screen() {
-    for (behind, silent_nodes) in [(0, 0), (5, 3), (200, 0), (0, 59)] {
-        let (code, lines) = status(behind, silent_nodes, &[]);
+    for (behind, unreachable) in [(0, 0), (5, 3), (200, 0), (0, 59)] {
+        let (code, lines) = status(behind, unreachable, &[]);
         assert!(lines.len() <= SCREEN_LINES, "{} lines", lines.len());
-        let in_force = NODES - behind - silent_nodes;
+        let in_force = NODES - behind - unreachable;
         let progress =
             format!("newest version in force: revision {NEWEST}, at {in_force} of {NODES} nodes");
         assert_eq!(lines[0], progress);
         assert!(DATA_CENTRES.iter().all(|name| lines.iter().any(|line| line.starts_with(name))));
-        assert_eq!(code, Some(i32::from(behind + silent_nodes > 0)));
+        assert_eq!(code, Some(i32::from(behind + unreachable > 0)));
     }
 }
 
 #[test]
 fn nodes_that_are_behind_or_do_not_answer_are_listed() {
     let (_, lines) = status(2, 1, &[]);
-    let about = |id: &str| lines.iter().find(|line| line.starts_with(&format!("{id} ")));
-    assert!(about("i-1").is_some_and(|line| line.contains("behind by 3 revisions")));
-    assert!(about("i-294").is_some_and(|line| line.contains("does not answer")));
-    assert!(about("i-100").is_none());
+    let line_of = |id: &str| lines.iter().find(|line| line.starts_with(&format!("{id} ")));
+    assert!(line_of("i-1").is_some_and(|line| line.contains("behind by 3 revisions")));
+    assert!(line_of("i-294").is_some_and(|line| line.contains("does not answer")));
+    assert!(line_of("i-100").is_none());
 }
 
 /// Guards against quarantined requests that the operator cannot see.
--- a/crates/baobabctl/tests/output.rs
+++ b/crates/baobabctl/tests/output.rs
@@ -29,7 +29,7 @@
     drop(reader);
     let mut errors = String::new();
     let mut stderr = child.stderr.take().expect("its errors are piped");
-    stderr.read_to_string(&mut errors).expect("errors are text");
+    stderr.read_to_string(&mut errors).expect("errors are UTF-8");
     let status = child.wait().expect("the process ends");
     assert!(!first.is_empty());
     assert_eq!((status.code(), errors.as_str()), (Some(0), ""));
--- a/crates/baobabrelayd/tests/poison_request.rs
+++ b/crates/baobabrelayd/tests/poison_request.rs
@@ -44,7 +44,7 @@
 fn call(mesh: &Mesh, node: usize, path: &str) -> Answer {
     let mut caller = Caller::new(mesh.instances[node].traffic);
     let answer = mesh.runtime().block_on(caller.call(&Call::get(path)));
-    answer.unwrap_or_else(|_| panic!("node {node} answers"))
+    answer.unwrap_or_else(|_| panic!("node {node} does not answer"))
 }
 
 fn crashes(mesh: &Mesh) -> usize {
--- a/crates/baobabrelayd/tests/process.rs
+++ b/crates/baobabrelayd/tests/process.rs
@@ -24,8 +24,8 @@
 const PROFILE: &str =
     r#"{"deadline_ms": 20000, "routes": [{"prefix": "/brief", "deadline_ms": 400}]}"#;
 
-/// Starts a mesh with `count` upstreams of "paydesk" and one of "shelfview"; node 0, beside the latter,
-/// is the entry node.
+/// Starts a mesh with `count` upstreams of "paydesk" and one of "shelfview"; node 0, colocated with the
+/// latter, is the entry node.
 fn mesh(count: usize, work: Duration) -> Mesh {
     let mut instances = places(&["shelfview"], &["ktm-a"], 1);
     instances.extend(places(&["paydesk"], &["ktm-a"], count));
@@ -83,7 +83,7 @@
     mesh.signal_node(1, Signal::CONT).expect("the process can be resumed");
     let fresh =
         |mesh: &Mesh| call(mesh, &Call::post("/paydesk/pay", "fresh")).outcome() == "answered";
-    mesh.wait(TIMEOUT, fresh).expect("the node works again");
+    mesh.wait(TIMEOUT, fresh).expect("the node answers calls again");
     for work in &abandoned {
         assert_eq!(runs(&mesh, work), 0, "{work} was abandoned before the node resumed");
     }
@@ -103,7 +103,8 @@
         .spawn(async move { Caller::new(entry).call(&Call::post("/paydesk/pay", "w")).await });
     mesh.wait(TIMEOUT, |mesh| runs(mesh, "w") == 1).expect("the call has started");
     let serving = (1..3).find(|&i| mesh.instances[i].upstream.ledger().runs == 1);
-    mesh.kill_node(serving.expect("one upstream has it")).expect("the process can be killed");
+    mesh.kill_node(serving.expect("one upstream runs the call"))
+        .expect("the process can be killed");
     let answer =
         mesh.runtime().block_on(task).expect("the task ends").expect("the entry node answers");
     assert_eq!((answer.outcome(), runs(&mesh, "w")), ("unknown", 1));
@@ -152,7 +153,7 @@
             })
         })
         .collect();
-    mesh.wait(TIMEOUT, |mesh| mesh.instances[2].upstream.busy() > 0).expect("work has begun");
+    mesh.wait(TIMEOUT, |mesh| mesh.instances[2].upstream.busy() > 0).expect("a call has started");
     assert_eq!(mesh.stop_node(2).expect("the process can be stopped"), Some(0));
     for worker in workers {
         for (work, outcome) in mesh.runtime().block_on(worker).expect("the task ends") {
@@ -169,11 +170,11 @@
     let mut mesh = mesh(1, Duration::ZERO);
     let profile = r#"{"deadline_ms": 20000, "drain_ms": 1000}"#;
     let revision = mesh.platform.publish(&[("profiles/p", Some(profile))]);
-    mesh.wait_in_force(revision, TIMEOUT).expect("the bound comes into force");
+    mesh.wait_in_force(revision, TIMEOUT).expect("the profile comes into force");
     let entry = mesh.instances[0].traffic;
     let mut idle = Caller::new(entry);
-    let kept = mesh.runtime().block_on(idle.call(&Call::get("/paydesk/till")));
-    assert_eq!(kept.expect("the entry node answers").outcome(), "answered");
+    let first = mesh.runtime().block_on(idle.call(&Call::get("/paydesk/till")));
+    assert_eq!(first.expect("the entry node answers").outcome(), "answered");
     mesh.instances[1].upstream.set_mode(Mode::Silent);
     mesh.platform.set_mode(platform::Mode::Slow(TIMEOUT));
     let task = mesh
@@ -209,14 +210,14 @@
 }
 
 #[test]
-fn a_bad_version_is_rejected_and_shown() {
+fn an_invalid_version_is_rejected_and_reported() {
     let mesh = mesh(1, Duration::ZERO);
     let before = mesh.revision(0);
     mesh.platform.publish(&[("profiles/p", Some(r#"{"attempts": 77}"#))]);
-    let shown = |mesh: &Mesh| {
+    let is_reported = |mesh: &Mesh| {
         (0..2).any(|i| mesh.page(i, "/status").is_some_and(|page| page.contains("/attempts")))
     };
-    mesh.wait(TIMEOUT, shown).expect("a reader shows the fault");
+    mesh.wait(TIMEOUT, is_reported).expect("a reader reports the fault");
     assert_eq!(mesh.revision(0), before);
 }
 
