--- a/crates/fleet/tests/catchup.rs
+++ b/crates/fleet/tests/catchup.rs
@@ -10,7 +10,7 @@
     document::{Delta, Document, Set},
 };
 
-/// Most chunks that any of these cases takes.
+/// Maximum number of chunks in a transfer.
 const MAX_CHUNKS: usize = 100;
 
 fn documents(count: usize, text: &str) -> Vec<Document> {
@@ -45,7 +45,7 @@
             Progress::Unusable => panic!("unusable after {answers} answers"),
         }
     }
-    panic!("not whole after {MAX_CHUNKS} answers");
+    panic!("not complete after {MAX_CHUNKS} answers");
 }
 
 #[track_caller]
@@ -84,11 +84,13 @@
     let own = fence_with(set(1, 100, "1"));
     let other = fence_with(set(2, 200, "1"));
     let mut transfer = Transfer::default();
-    let mislabel =
+    let with_wrong_revision =
         |answer: Bundle| Bundle { version: Version { revision: 3, ..answer.version }, ..answer };
-    let first = transfer.receive(&own, mislabel(other.answer(&transfer.pull_content(&own))));
+    let first =
+        transfer.receive(&own, with_wrong_revision(other.answer(&transfer.pull_content(&own))));
     assert!(matches!(first, Progress::Partial));
-    let second = transfer.receive(&own, mislabel(other.answer(&transfer.pull_content(&own))));
+    let second =
+        transfer.receive(&own, with_wrong_revision(other.answer(&transfer.pull_content(&own))));
     assert!(matches!(second, Progress::Unusable));
     assert!(transfer.is_empty());
 }
@@ -115,12 +117,12 @@
     let answer = other.answer(&pull);
     assert!(!answer.more);
     assert!(matches!(Transfer::default().receive(&own, answer), Progress::Complete(_)));
-    let everything =
+    let unlimited =
         Bundle { version: other.version(), delta: other.set().since(None), more: false };
-    assert!(matches!(Transfer::default().receive(&own, everything), Progress::Complete(_)));
+    assert!(matches!(Transfer::default().receive(&own, unlimited), Progress::Complete(_)));
 }
 
-/// Otherwise the requester asks again by bucket digests.
+/// After an incomplete answer the requester pulls by bucket digests.
 #[test]
 fn changes_since_a_revision_are_sent_only_if_small() {
     let own = fence_with(set(1, 100, "1"));
@@ -164,7 +166,7 @@
 fn chunks_shrink_after_two_consecutive_timeouts() {
     let fence = Fence::default();
     let mut transfer = Transfer::default();
-    let size = |transfer: &Transfer| transfer.pull(&fence).limit.expect("pieces are bounded");
+    let size = |transfer: &Transfer| transfer.pull(&fence).limit.expect("chunks are bounded");
     let usual = size(&transfer);
     transfer.note_timeout();
     assert_eq!(size(&transfer), usual);
--- a/crates/fleet/tests/directory.rs
+++ b/crates/fleet/tests/directory.rs
@@ -40,7 +40,9 @@
 fn check(updates: Vec<Update>, expect: &[&str]) -> Directory {
     let mut replica = Directory::default();
     for (i, update) in updates.into_iter().enumerate() {
-        replica.apply(update, NO_GRACE, at(1_000 * i as u64)).expect("the update follows on");
+        replica
+            .apply(update, NO_GRACE, at(1_000 * i as u64))
+            .expect("the update follows the held revision");
     }
     let ids: Vec<&str> = replica.entries().map(|e| e.id.as_str()).collect();
     assert_eq!(ids, expect);
@@ -77,17 +79,18 @@
 }
 
 /// Guards against removing every upstream when the platform is back and their registrations have
-/// lapsed.
+/// expired.
 #[test]
 fn removals_after_an_outage_wait_for_the_upstream_to_register_again() {
     let mut replica =
         check(vec![Update { entries: vec![entry("a", 3)], ..update(None, 3) }], &["a"]);
-    let lapsed = Update { removed: vec![removal("a", 5)], ..update(Some(3), 5) };
-    let changes = replica.apply(lapsed, GRACE, at(10_000)).expect("it follows on");
+    let expired = Update { removed: vec![removal("a", 5)], ..update(Some(3), 5) };
+    let changes =
+        replica.apply(expired, GRACE, at(10_000)).expect("the update follows the held revision");
     assert_eq!(changes[0].1, Change::RemovalPending);
     assert_eq!((replica.entries().count(), replica.expire(at(11_900)).len()), (1, 0));
-    let back = Update { entries: vec![entry("a", 8)], ..update(Some(5), 8) };
-    replica.apply(back, GRACE, at(11_950)).expect("it follows on");
+    let registered = Update { entries: vec![entry("a", 8)], ..update(Some(5), 8) };
+    replica.apply(registered, GRACE, at(11_950)).expect("the update follows the held revision");
     assert_eq!((replica.expire(at(60_000)).len(), replica.entries().count()), (0, 1));
 }
 
@@ -101,11 +104,14 @@
     let mut replica =
         check(vec![Update { entries: vec![entry("a", 3)], ..update(None, 3) }], &["a"]);
     let overwritten = Update { removed: vec![unusable("a", 5)], ..update(Some(3), 5) };
-    let changes = replica.apply(overwritten, GRACE, at(10_000)).expect("it follows on");
+    let changes = replica
+        .apply(overwritten, GRACE, at(10_000))
+        .expect("the update follows the held revision");
     assert_eq!((changes[0].1, replica.entries().count()), (Change::Gone, 0));
     assert_eq!(replica.since(Some(3), at(10_001)).removed, [unusable("a", 5)]);
-    let good = Update { entries: vec![entry("a", 6)], ..update(Some(5), 6) };
-    let changes = replica.apply(good, GRACE, at(11_000)).expect("it follows on");
+    let valid = Update { entries: vec![entry("a", 6)], ..update(Some(5), 6) };
+    let changes =
+        replica.apply(valid, GRACE, at(11_000)).expect("the update follows the held revision");
     assert_eq!(changes[0].1, Change::Listed);
 }
 
@@ -117,12 +123,13 @@
 #[track_caller]
 fn check_incarnations(writes: Vec<Entry>, expect: &[Option<Change>]) -> Directory {
     let mut replica = Directory::default();
-    replica.apply(update(None, 1), NO_GRACE, at(0)).expect("it holds the whole list");
+    replica.apply(update(None, 1), NO_GRACE, at(0)).expect("a whole list leaves no gap");
     let mut changes = Vec::new();
     for write in writes {
         let revision = write.revision;
         let update = Update { entries: vec![write], ..update(Some(1), revision) };
-        let changed = replica.apply(update, NO_GRACE, at(0)).expect("it follows on");
+        let changed =
+            replica.apply(update, NO_GRACE, at(0)).expect("the update follows the held revision");
         changes.push(changed.first().map(|(_, change)| *change));
     }
     assert_eq!(changes, expect);
@@ -149,17 +156,24 @@
     let writes = vec![incarnation(2, Some(200), Standing::Ready)];
     let mut replica = check_incarnations(writes, &[Some(Change::Listed)]);
     let removed = Update { removed: vec![removal("a", 3)], ..update(Some(2), 3) };
-    replica.apply(removed, NO_GRACE, at(1)).expect("it follows on");
+    replica.apply(removed, NO_GRACE, at(1)).expect("the update follows the held revision");
     let mut peer = Directory::default();
-    peer.apply(update(None, 1), NO_GRACE, at(1)).expect("it holds the whole list");
-    peer.apply(replica.since(Some(1), at(2)), NO_GRACE, at(2)).expect("it follows on");
+    peer.apply(update(None, 1), NO_GRACE, at(1)).expect("a whole list leaves no gap");
+    peer.apply(replica.since(Some(1), at(2)), NO_GRACE, at(2))
+        .expect("the update follows the held revision");
     for replica in [&mut replica, &mut peer] {
         let earlier = incarnation(4, Some(100), Standing::Ready);
-        let late = Update { entries: vec![earlier], ..update(Some(3), 4) };
-        assert_eq!(replica.apply(late, NO_GRACE, at(3)), Ok(vec![]));
+        let delayed = Update { entries: vec![earlier], ..update(Some(3), 4) };
+        assert_eq!(replica.apply(delayed, NO_GRACE, at(3)), Ok(vec![]));
         let same = incarnation(5, Some(200), Standing::Ready);
-        let back = Update { entries: vec![same], ..update(Some(4), 5) };
-        assert_eq!(replica.apply(back, NO_GRACE, at(4)).expect("it follows on").len(), 1);
+        let registered = Update { entries: vec![same], ..update(Some(4), 5) };
+        assert_eq!(
+            replica
+                .apply(registered, NO_GRACE, at(4))
+                .expect("the update follows the held revision")
+                .len(),
+            1
+        );
     }
 }
 
@@ -180,12 +194,12 @@
 fn an_upstream_that_does_not_register_again_is_removed_after_the_grace_period() {
     let mut replica =
         check(vec![Update { entries: vec![entry("a", 3)], ..update(None, 3) }], &["a"]);
-    let lapsed = Update { removed: vec![removal("a", 5)], ..update(Some(3), 5) };
-    replica.apply(lapsed, GRACE, at(10_000)).expect("it follows on");
+    let expired = Update { removed: vec![removal("a", 5)], ..update(Some(3), 5) };
+    replica.apply(expired, GRACE, at(10_000)).expect("the update follows the held revision");
     let update = replica.since(Some(3), at(11_500));
     assert_eq!(update.removed[0].grace_ms, 500);
-    let gone = replica.expire(at(12_000));
-    assert_eq!((gone[0].1, replica.entries().count()), (Change::Gone, 0));
+    let changes = replica.expire(at(12_000));
+    assert_eq!((changes[0].1, replica.entries().count()), (Change::Gone, 0));
     assert_eq!(replica.since(Some(3), at(12_500)).removed, [removal("a", 5)]);
 }
 
@@ -194,9 +208,11 @@
     let mut replica =
         check(vec![Update { entries: vec![entry("a", 3)], ..update(None, 3) }], &["a"]);
     let removed = Update { removed: vec![removal("a", 5)], ..update(Some(3), 5) };
-    replica.apply(removed, NO_GRACE, at(0)).expect("it follows on");
+    replica.apply(removed, NO_GRACE, at(0)).expect("the update follows the held revision");
     assert_eq!(replica.since(Some(3), at(1)).base, Some(3));
-    replica.apply(update(Some(5), 6), NO_GRACE, at(300_000)).expect("it follows on");
+    replica
+        .apply(update(Some(5), 6), NO_GRACE, at(300_000))
+        .expect("the update follows the held revision");
     assert_eq!(replica.since(Some(3), at(300_001)).base, None);
     assert_eq!(replica.since(Some(5), at(300_001)).base, Some(5));
 }
@@ -216,20 +232,22 @@
 fn two_replicas_converge_to_the_platform() {
     fn property(history: History, syncs: Vec<bool>) -> bool {
         let (mut reader, mut other) = (Directory::default(), Directory::default());
-        let mut truth = std::collections::BTreeMap::new();
-        reader.apply(update(None, 1), NO_GRACE, at(0)).expect("the first is whole");
+        let mut expect = std::collections::BTreeMap::new();
+        reader.apply(update(None, 1), NO_GRACE, at(0)).expect("a whole list leaves no gap");
         for (i, (id, removed)) in history.0.iter().enumerate() {
             let revision = i as u64 + 2;
             let id = format!("i-{}", id % 4);
             let mut change = update(Some(revision - 1), revision);
             if *removed {
-                truth.remove(&id);
+                expect.remove(&id);
                 change.removed.push(removal(&id, revision));
             } else {
-                truth.insert(id.clone(), revision);
+                expect.insert(id.clone(), revision);
                 change.entries.push(entry(&id, revision));
             }
-            reader.apply(change, NO_GRACE, at(revision)).expect("it follows on");
+            reader
+                .apply(change, NO_GRACE, at(revision))
+                .expect("the update follows the held revision");
             if syncs.get(i).copied().unwrap_or(false) {
                 sync(&reader, &mut other, at(revision));
             }
@@ -238,13 +256,13 @@
         let held = |replica: &Directory| -> std::collections::BTreeMap<String, u64> {
             replica.entries().map(|e| (e.id.clone(), e.revision)).collect()
         };
-        held(&reader) == truth && held(&other) == truth
+        held(&reader) == expect && held(&other) == expect
     }
     let gen_ = Gen::from_size_and_seed(40, SEED);
     QuickCheck::new().rng(gen_).quickcheck(property as fn(History, Vec<bool>) -> bool);
 }
 
 fn sync(from: &Directory, to: &mut Directory, now: Time) {
-    let have = Some(to.revision()).filter(|&revision| revision > 0);
-    to.apply(from.since(have, now), NO_GRACE, now).expect("it follows on what was asked for");
+    let held = Some(to.revision()).filter(|&revision| revision > 0);
+    to.apply(from.since(held, now), NO_GRACE, now).expect("the update follows the held revision");
 }
--- a/crates/fleet/tests/evacuation.rs
+++ b/crates/fleet/tests/evacuation.rs
@@ -1,4 +1,4 @@
-//! Zone evacuation: operators evacuate a data centre and withdraw the order.
+//! Evacuation of data centres: orders of operators and their withdrawal.
 
 mod net;
 
@@ -15,15 +15,15 @@
 /// Upstreams of the data centre `b`.
 const EVACUATED: [&str; 2] = ["i-3", "i-4"];
 
-/// Time limit for an order to reach every node of a fleet of some 80, in ms.
+/// Time limit for an order to reach every node of a fleet of up to 81 nodes, in ms.
 const LIMIT_MS: u64 = 1_000;
 
-/// The same for some 300 nodes, in ms.
+/// Time limit for an order to reach every node of a fleet of 294 nodes, in ms.
 const LARGE_FLEET_LIMIT_MS: u64 = 1_500;
 
-fn converged(zones: &[&'static str]) -> Net {
-    let mut net = Net::new(zones);
-    net.until(4_000, |net| net.all(|n| n.open && n.view.iter().count() == zones.len()));
+fn converged(data_centres: &[&'static str]) -> Net {
+    let mut net = Net::new(data_centres);
+    net.until(4_000, |net| net.all(|n| n.open && n.view.iter().count() == data_centres.len()));
     net.run(3_000);
     net
 }
@@ -50,20 +50,21 @@
     net.evacuate("b");
     net.until(LIMIT_MS, is_evacuated_everywhere);
     assert!((0..7).all(|node| net.is_target(node, "i-0") && net.is_target(node, "i-6")));
-    net.take_back("b");
+    net.withdraw("b");
     net.until(LIMIT_MS, is_readmitted_everywhere);
 }
 
 /// Guards against a propagation time that grows with the number of nodes.
 #[test]
 fn an_order_reaches_dozens_and_hundreds_of_nodes_in_time() {
-    for (part, bound) in [(27, LIMIT_MS), (98, LARGE_FLEET_LIMIT_MS)] {
-        let zones: Vec<&'static str> = (0..3 * part).map(|n| ["a", "b", "c"][n / part]).collect();
-        let mut net = converged(&zones);
+    for (size, limit_ms) in [(27, LIMIT_MS), (98, LARGE_FLEET_LIMIT_MS)] {
+        let data_centres: Vec<&'static str> =
+            (0..3 * size).map(|n| ["a", "b", "c"][n / size]).collect();
+        let mut net = converged(&data_centres);
         net.evacuate("b");
-        net.until(bound, |net| (0..zones.len()).all(|n| net.target_count(n) == 2 * part));
-        net.take_back("b");
-        net.until(bound, |net| (0..zones.len()).all(|n| net.target_count(n) == 3 * part));
+        net.until(limit_ms, |net| (0..data_centres.len()).all(|n| net.target_count(n) == 2 * size));
+        net.withdraw("b");
+        net.until(limit_ms, |net| (0..data_centres.len()).all(|n| net.target_count(n) == 3 * size));
     }
 }
 
@@ -77,7 +78,7 @@
         net.run(200);
         net.evacuate("b");
         net.until(2_000, is_evacuated_everywhere);
-        net.take_back("b");
+        net.withdraw("b");
         net.until(2_000, is_readmitted_everywhere);
     }
 }
@@ -106,7 +107,7 @@
     net.until(LIMIT_MS, is_evacuated_everywhere);
     net.treat_all(Treatment::Refuse);
     net.run(500);
-    net.take_back("b");
+    net.withdraw("b");
     net.compact();
     net.treat_all(Treatment::Serve);
     net.until(5_000, is_readmitted_everywhere);
@@ -123,52 +124,57 @@
     }
     net.treat(6, Treatment::Silent);
     net.run(500);
-    net.take_back("b");
+    net.withdraw("b");
     net.until(2_000, |net| (0..6).all(|n| EVACUATED.iter().all(|id| net.is_target(n, id))));
     for other in 0..6 {
         net.set_cut(6, other, false);
     }
     for _ in 0..40 {
         net.run(50);
-        assert!((0..6).all(|n| sends_to_evacuated(&net, n)), "revived");
+        assert!(
+            (0..6).all(|n| sends_to_evacuated(&net, n)),
+            "the withdrawn order is in force again"
+        );
     }
     net.until(3_000, is_readmitted_everywhere);
 }
 
 /// Guards against full load on readmitted upstreams, which may be cold.
 #[test]
-fn upstreams_of_a_readmitted_data_centre_are_marked() {
+fn upstreams_of_a_readmitted_data_centre_have_a_readmission_time() {
     let mut net = converged(&DATA_CENTRES);
     net.evacuate("b");
     net.until(LIMIT_MS, is_evacuated_everywhere);
-    net.take_back("b");
+    net.withdraw("b");
     net.until(LIMIT_MS, is_readmitted_everywhere);
     let upstreams = net.node(0).view.upstreams("shelfview");
-    let taken_back = |id: &str| upstreams.iter().find(|u| u.instance == id).unwrap().readmitted_at;
-    assert!(taken_back("i-3").is_some_and(|at| at <= Time::from_millis(net.now)));
-    assert_eq!(taken_back("i-0"), None);
+    let readmitted_at =
+        |id: &str| upstreams.iter().find(|u| u.instance == id).unwrap().readmitted_at;
+    assert!(readmitted_at("i-3").is_some_and(|at| at <= Time::from_millis(net.now)));
+    assert_eq!(readmitted_at("i-0"), None);
 }
 
 #[test]
 fn the_warm_up_time_counts_from_the_receipt_of_the_entry() {
     let mut net = converged(&DATA_CENTRES);
     net.register_cold(3, "i-3", 3_000);
-    let begun = net.now;
-    let until = |net: &Net| {
+    let registered_at = net.now;
+    let cold_until_ms = |net: &Net| {
         let upstreams = net.node(0).view.upstreams("shelfview");
         upstreams.iter().find(|u| u.instance == "i-3").unwrap().cold_until.millis()
     };
-    net.until(LIMIT_MS, |net| until(net) > 0);
-    assert!((begun + 3_000..=net.now + 3_000).contains(&until(&net)));
+    net.until(LIMIT_MS, |net| cold_until_ms(net) > 0);
+    assert!((registered_at + 3_000..=net.now + 3_000).contains(&cold_until_ms(&net)));
 }
 
 /// Guards against an upstream that stays cold because it once registered an excessive time.
 #[test]
-fn an_upstream_can_end_its_warm_up() {
+fn an_upstream_ends_its_warm_up_by_registering_again() {
     let mut net = converged(&DATA_CENTRES);
     let is_cold = |net: &Net, node: usize| {
         let upstreams = net.node(node).view.upstreams("shelfview");
-        let upstream = upstreams.iter().find(|u| u.instance == "i-3").expect("it is listed");
+        let upstream =
+            upstreams.iter().find(|u| u.instance == "i-3").expect("the upstream is listed");
         upstream.cold_until > Time::from_millis(net.now)
     };
     net.register_cold(3, "i-3", u64::MAX);
@@ -180,7 +186,7 @@
 /// Guards against unbounded memory by orders for unknown data centres, and against evicting earlier
 /// orders.
 #[test]
-fn orders_are_bounded() {
+fn the_number_of_orders_is_bounded() {
     let mut orders = Orders::default();
     orders.merge([order("b", 1, false)]);
     for number in 0..2 * MAX_ORDERS as u64 {
@@ -214,12 +220,14 @@
 
 /// Guards against an older product version whose whole lists would withdraw all orders.
 #[test]
-fn a_whole_list_without_orders_support_withdraws_none() {
+fn a_whole_list_of_an_older_version_withdraws_no_order() {
     let mut replica = Directory::default();
     let update =
         Update { revision: 5, orders: Some(vec![order("b", 5, false)]), ..Update::default() };
-    replica.apply(update, Duration::ZERO, Time::default()).expect("a whole copy leaves no gap");
-    let silent = Update { revision: 6, ..Update::default() };
-    replica.apply(silent, Duration::ZERO, Time::default()).expect("a whole copy leaves no gap");
+    replica.apply(update, Duration::ZERO, Time::default()).expect("a whole list leaves no gap");
+    let without_orders = Update { revision: 6, ..Update::default() };
+    replica
+        .apply(without_orders, Duration::ZERO, Time::default())
+        .expect("a whole list leaves no gap");
     assert!(replica.orders().is_evacuated("b"));
 }
--- a/crates/fleet/tests/fence.rs
+++ b/crates/fleet/tests/fence.rs
@@ -43,7 +43,7 @@
 
 /// Guards against a lagging platform that replaces a newer version pulled from a peer.
 #[test]
-fn never_moves_back() {
+fn an_older_or_equal_revision_is_not_put_in_force() {
     cov_mark::check!(fence_not_newer);
     check(&[(5, GOOD), (4, GOOD)], &["in force", "not newer"], 5);
     check(&[(5, GOOD), (5, GOOD)], &["in force", "not newer"], 5);
@@ -84,7 +84,7 @@
 
 /// Guards against a node that makes callers wait for a version that it has rejected.
 #[test]
-fn a_refused_version_is_not_expected() {
+fn a_rejected_version_is_not_expected() {
     check_expected(&[], 0, 0, 0);
     check_expected(&[(5, GOOD)], 4, 5, 5);
     check_expected(&[(5, GOOD)], 6, 6, 6);
--- a/crates/fleet/tests/joining.rs
+++ b/crates/fleet/tests/joining.rs
@@ -62,7 +62,7 @@
 
 /// Guards against a restarted node that starts with the outdated configuration of the first peer to answer.
 #[test]
-fn a_starting_node_pulls_the_highest_version_heard_within_the_join_wait() {
+fn a_starting_node_pulls_the_highest_version_received_within_the_join_wait() {
     let tick = Event::Tick;
     check(&[(10, beat(2, 5)), (20, beat(3, 9)), (30, beat(4, 7)), (450, tick.clone())], &[3]);
     check(&[(10, beat(2, 5)), (450, tick.clone())], &[2]);
--- a/crates/fleet/tests/large_config.rs
+++ b/crates/fleet/tests/large_config.rs
@@ -7,18 +7,21 @@
 use std::time::Duration;
 
 const DATA_CENTRES: [&str; 7] = ["a", "a", "a", "b", "b", "c", "c"];
+/// Link speeds, in Mbit/s.
 const FAST: u32 = 100;
 const SLOW: u32 = 5;
 
-/// Routes of a large site, and routes that one change adds.
+/// Routes of a large site.
 const ROUTES: usize = 1_600;
-const ADDED: usize = 1_400;
+
+/// Routes that one change adds.
+const ADDED_ROUTES: usize = 1_400;
 
 /// Time limit for a change to be in force on all nodes, in ms.
 const IN_FORCE_WITHIN_MS: u64 = 2_500;
 
-/// Returns a settled fleet with the routes of a large site; one node per data centre has a fast link.
-fn settled(slow: u32) -> Net {
+/// Returns a converged fleet with the routes of a large site; one node per data centre has a fast link.
+fn converged(slow: u32) -> Net {
     let mut net = Net::new(&DATA_CENTRES);
     net.links = vec![FAST, slow, slow, FAST, slow, FAST, slow];
     (0..DATA_CENTRES.len()).for_each(|node| net.start(node));
@@ -33,8 +36,8 @@
 /// added routes are answered with 404.
 #[test]
 fn a_change_larger_than_one_pull_reaches_nodes_on_slow_links() {
-    let mut net = settled(SLOW);
-    net.store.routes += ADDED;
+    let mut net = converged(SLOW);
+    net.store.routes += ADDED_ROUTES;
     let revision = net.publish();
     net.until(IN_FORCE_WITHIN_MS, |net| net.all(|n| n.in_force == revision));
     assert!(net.regressions.is_empty());
@@ -43,8 +46,8 @@
 /// On these links a single chunk takes almost the whole timeout of a pull.
 #[test]
 fn a_large_change_arrives_late_on_the_slowest_links() {
-    let mut net = settled(2);
-    net.store.routes += ADDED;
+    let mut net = converged(2);
+    net.store.routes += ADDED_ROUTES;
     let revision = net.publish();
     net.until(8_000, |net| net.all(|n| n.in_force == revision));
     assert!(net.regressions.is_empty());
@@ -53,7 +56,7 @@
 /// Guards against a starting node that restarts its transfer with each version published meanwhile.
 #[test]
 fn a_starting_node_catches_up_during_frequent_changes() {
-    let mut net = settled(SLOW);
+    let mut net = converged(SLOW);
     net.kill(6);
     net.run(500);
     net.treat(6, Treatment::Refuse);
@@ -71,8 +74,8 @@
 /// Guards against losing received chunks when the sending node crashes.
 #[test]
 fn a_transfer_resumes_from_another_node_after_its_source_crashes() {
-    let mut net = settled(SLOW);
-    net.store.routes += ADDED;
+    let mut net = converged(SLOW);
+    net.store.routes += ADDED_ROUTES;
     let revision = net.publish();
     net.run(300);
     net.kill(0);
@@ -82,8 +85,8 @@
 /// Guards against a node that does not report that it is behind, or reports so after it has caught up.
 #[test]
 fn the_expected_revision_is_known_before_a_slow_transfer_ends() {
-    let mut net = settled(SLOW);
-    net.store.routes += ADDED;
+    let mut net = converged(SLOW);
+    net.store.routes += ADDED_ROUTES;
     let revision = net.publish();
     net.until(500, |net| net.all(|n| n.expected == revision));
     assert!(net.node(6).in_force < revision);
@@ -95,11 +98,11 @@
 /// Guards against fixed chunk sizes, and against losing received chunks when a pull is lost.
 #[test]
 fn a_change_arrives_on_lossy_links_and_on_links_too_slow_for_a_chunk() {
-    for (slow, lossy) in [(1, 0), (SLOW, 4)] {
-        let mut net = settled(2);
+    for (slow, loss) in [(1, 0), (SLOW, 4)] {
+        let mut net = converged(2);
         net.links.iter_mut().filter(|link| **link == 2).for_each(|link| *link = slow);
-        net.pull_loss = lossy;
-        net.store.routes += ADDED;
+        net.pull_loss = loss;
+        net.store.routes += ADDED_ROUTES;
         let revision = net.publish();
         net.until(15_000, |net| net.all(|n| n.in_force == revision));
     }
@@ -108,16 +111,16 @@
 /// Guards against sending whole buckets of documents for a small change, which would saturate a slow link.
 #[test]
 fn frequent_small_changes_reach_nodes_on_slow_links() {
-    let mut net = settled(SLOW);
+    let mut net = converged(SLOW);
     net.store.changed_routes = 20;
-    let mut seen = 0;
+    let mut updates = 0;
     for _ in 0..40 {
         let before = net.node(6).in_force;
         net.publish();
         net.run(250);
-        seen += usize::from(net.node(6).in_force > before);
+        updates += usize::from(net.node(6).in_force > before);
     }
-    assert!(seen >= 30, "{seen} of 40");
+    assert!(updates >= 30, "{updates} of 40");
     assert!(net.regressions.is_empty());
 }
 
@@ -131,7 +134,7 @@
     net.store.routes = ROUTES;
     let before = net.publish();
     net.until(10_000, |net| net.all(|n| n.open && n.in_force == before));
-    net.store.routes += ADDED;
+    net.store.routes += ADDED_ROUTES;
     let revision = net.publish();
     net.until(1_000, |net| (2..4).all(|n| net.node(n).expected == revision));
     net.run(250);
@@ -145,8 +148,8 @@
 #[test]
 fn process_pauses_do_not_multiply_pulls() {
     let pulls = |pauses| {
-        let mut net = settled(SLOW);
-        net.store.routes += ADDED;
+        let mut net = converged(SLOW);
+        net.store.routes += ADDED_ROUTES;
         let revision = net.publish();
         net.until(1_000, |net| net.node(6).expected == revision);
         let before = net.pulls_sent[6];
@@ -162,42 +165,42 @@
 
 /// Guards against a restarted node that reads an invalid version first and does not get ready.
 #[test]
-fn a_node_starts_with_the_last_good_version_if_the_newest_is_invalid() {
-    let mut net = settled(SLOW);
-    let good = net.node(1).in_force;
-    net.publish_bad();
+fn a_node_starts_with_the_last_valid_version_if_the_newest_is_invalid() {
+    let mut net = converged(SLOW);
+    let valid = net.node(1).in_force;
+    net.publish_invalid();
     net.run(1_000);
     net.kill(0);
     net.run(500);
     net.start(0);
     net.run(5_000);
     let node = net.node(0);
-    assert_eq!((node.open, node.in_force, node.expected), (true, good, good));
+    assert_eq!((node.open, node.in_force, node.expected), (true, valid, valid));
 }
 
 /// Guards against a node that missed a valid version, rejects a later one and never pulls the valid one.
 #[test]
 fn a_rejected_version_does_not_block_an_older_acceptable_one() {
-    let mut net = settled(SLOW);
+    let mut net = converged(SLOW);
     (1..DATA_CENTRES.len()).for_each(|node| net.set_cut(0, node, true));
     net.treat(0, Treatment::Refuse);
-    let good = net.publish();
+    let valid = net.publish();
     net.until(IN_FORCE_WITHIN_MS, |net| {
-        (1..DATA_CENTRES.len()).all(|n| net.node(n).in_force == good)
+        (1..DATA_CENTRES.len()).all(|n| net.node(n).in_force == valid)
     });
-    net.publish_bad();
+    net.publish_invalid();
     net.run(1_000);
     net.treat(0, Treatment::Serve);
     net.run(3_000);
     (1..DATA_CENTRES.len()).for_each(|node| net.set_cut(0, node, false));
-    net.until(5_000, |net| net.node(0).in_force == good && net.node(0).expected == good);
+    net.until(5_000, |net| net.node(0).in_force == valid && net.node(0).expected == valid);
 }
 
 /// Guards against answering for ever that a newer version is expected after its only holder crashed in a
 /// platform outage.
 #[test]
 fn a_version_lost_with_its_only_holder_is_no_longer_expected() {
-    let mut net = settled(SLOW);
+    let mut net = converged(SLOW);
     let held = net.node(1).in_force;
     (1..DATA_CENTRES.len()).for_each(|node| net.treat(node, Treatment::Silent));
     net.store.routes = 12_000;
--- a/crates/fleet/tests/large_fleet.rs
+++ b/crates/fleet/tests/large_fleet.rs
@@ -33,12 +33,13 @@
     node / NODES_PER_DATA_CENTRE
 }
 
-fn fleet(parts: usize) -> Net {
-    let zones: Vec<&'static str> =
-        (0..DATA_CENTRES.len() * parts).map(|n| DATA_CENTRES[n / parts]).collect();
-    let mut net = Net::new(&zones);
-    let speed = |node: usize| if node % parts < FAST_NODES_PER_DATA_CENTRE { FAST } else { SLOW };
-    net.links = (0..zones.len()).map(speed).collect();
+/// Returns a fleet with `size` nodes in each data centre.
+fn fleet(size: usize) -> Net {
+    let data_centres: Vec<&'static str> =
+        (0..DATA_CENTRES.len() * size).map(|n| DATA_CENTRES[n / size]).collect();
+    let mut net = Net::new(&data_centres);
+    let speed = |node: usize| if node % size < FAST_NODES_PER_DATA_CENTRE { FAST } else { SLOW };
+    net.links = (0..data_centres.len()).map(speed).collect();
     net
 }
 
@@ -60,7 +61,7 @@
     }
 }
 
-fn settled() -> Net {
+fn converged() -> Net {
     let mut net = fleet(NODES_PER_DATA_CENTRE);
     net.until(4_000, |net| net.all(|n| n.open && n.view.iter().count() == NODES));
     net.run(4_000);
@@ -70,9 +71,9 @@
 /// Guards against gossip whose rate per node grows with the number of nodes and takes CPU time from calls.
 #[test]
 fn digest_traffic_per_node_does_not_grow_with_the_fleet() {
-    let mut costs = Vec::new();
-    for part in [20, NODES_PER_DATA_CENTRE] {
-        let mut net = fleet(part);
+    let mut bytes_per_node = Vec::new();
+    for nodes_per_data_centre in [20, NODES_PER_DATA_CENTRE] {
+        let mut net = fleet(nodes_per_data_centre);
         net.run(6_000);
         let (sent_before, far_before) = (net.digests_sent.clone(), net.far_digests_sent.clone());
         let received_before = net.bytes_received.clone();
@@ -89,16 +90,22 @@
             .map(|n| net.far_digests_sent[n] - far_before[n])
             .max()
             .expect("there are nodes");
-        assert!(sent <= MAX_DIGESTS, "{sent} of one node in ten seconds");
-        assert!(sent_far <= MAX_FAR_DIGESTS, "{sent_far} of one node to other data centres");
-        costs.push(bytes);
+        assert!(sent <= MAX_DIGESTS, "{sent} digests of one node in ten seconds");
+        assert!(
+            sent_far <= MAX_FAR_DIGESTS,
+            "{sent_far} digests of one node to other data centres"
+        );
+        bytes_per_node.push(bytes);
     }
-    assert!(costs[1] * 10 <= costs[0] * 12, "{costs:?} bytes of one node in ten seconds");
+    assert!(
+        bytes_per_node[1] * 10 <= bytes_per_node[0] * 12,
+        "{bytes_per_node:?} bytes of one node in ten seconds"
+    );
 }
 
 #[test]
 fn a_version_is_in_force_on_hundreds_of_nodes_within_a_second() {
-    let mut net = settled();
+    let mut net = converged();
     let revision = net.publish();
     net.until(KNOWN_WITHIN_MS, |net| net.all(|n| n.in_force == revision));
     assert!(net.regressions.is_empty());
@@ -107,32 +114,32 @@
 /// Guards against forwarding each change to random nodes of any data centre.
 #[test]
 fn a_change_crosses_between_data_centres_few_times() {
-    let mut net = settled();
+    let mut net = converged();
     let before: u64 = net.far_digests_sent.iter().sum();
     let revision = net.publish();
-    let took = net.until(KNOWN_WITHIN_MS, |net| net.all(|n| n.in_force == revision));
-    let turns = NODES as u64 * MAX_FAR_DIGESTS * (took + 400) / 10_000;
+    let elapsed = net.until(KNOWN_WITHIN_MS, |net| net.all(|n| n.in_force == revision));
+    let periodic = NODES as u64 * MAX_FAR_DIGESTS * (elapsed + 400) / 10_000;
     let far = net.far_digests_sent.iter().sum::<u64>() - before;
-    assert!(far <= turns + NODES as u64 / 4, "{far}, of which {turns} in turn");
+    assert!(far <= periodic + NODES as u64 / 4, "{far} digests, of which {periodic} periodic");
 }
 
 /// Guards against a pull by every node for a change that fits into a digest.
 #[test]
 fn a_small_change_is_pulled_by_few_nodes() {
-    let mut net = settled();
+    let mut net = converged();
     let before: u64 = net.pulls_sent.iter().sum();
     let revision = net.publish();
     net.until(KNOWN_WITHIN_MS, |net| net.all(|n| n.in_force == revision));
-    let asked = net.pulls_sent.iter().sum::<u64>() - before;
-    assert!(asked <= NODES as u64 / 10, "{asked}");
+    let pulls = net.pulls_sent.iter().sum::<u64>() - before;
+    assert!(pulls <= NODES as u64 / 10, "{pulls}");
 }
 
 /// Guards against calls to an upstream that has left, also with lost digests.
 #[test]
 fn a_leaving_upstream_is_known_on_hundreds_of_nodes_within_a_second() {
-    for lossy in [0, 10] {
-        let mut net = settled();
-        net.digest_loss = lossy;
+    for loss in [0, 10] {
+        let mut net = converged();
+        net.digest_loss = loss;
         net.register(100, "i-100", Standing::Leaving);
         net.until(KNOWN_WITHIN_MS, |net| (0..NODES).all(|n| !is_target(net, n, 100)));
         net.unregister("i-100");
@@ -149,7 +156,7 @@
 /// lost.
 #[test]
 fn a_node_that_leaves_and_crashes_is_known_on_hundreds_of_nodes() {
-    let mut net = settled();
+    let mut net = converged();
     net.digest_loss = 10;
     net.inject(70, Event::Leave);
     net.kill(70);
@@ -159,13 +166,13 @@
 /// Guards against detecting a partitioned data centre only after several full gossip rounds.
 #[test]
 fn a_partitioned_data_centre_gets_no_calls_until_it_reconnects() {
-    let mut net = settled();
+    let mut net = converged();
     set_cut(&mut net, true);
-    let own = |net: &Net, n: usize| {
-        let is_own = |t: &usize| (data_centre(*t) == 0) == (data_centre(n) == 0);
-        (0..NODES).filter(is_own).count() == net.target_count(n)
+    let targets_connected_nodes = |net: &Net, n: usize| {
+        let is_connected = |t: &usize| (data_centre(*t) == 0) == (data_centre(n) == 0);
+        (0..NODES).filter(is_connected).count() == net.target_count(n)
     };
-    net.until(4_000, |net| [0, 30, 100, 294].iter().all(|n| own(net, *n)));
+    net.until(4_000, |net| [0, 30, 100, 294].iter().all(|n| targets_connected_nodes(net, *n)));
     set_cut(&mut net, false);
     net.until(1_500, |net| (0..NODES).all(|n| net.target_count(n) == NODES));
 }
@@ -182,7 +189,7 @@
 /// Guards against a number of platform calls that grows with the fleet.
 #[test]
 fn few_of_hundreds_call_the_platform() {
-    let mut net = settled();
+    let mut net = converged();
     let before = net.reads;
     net.run(10_000);
     // One reader in each of five data centres, each call held for 0.8 s.
@@ -191,7 +198,7 @@
 
 #[test]
 fn a_mass_restart_of_hundreds_is_ready_soon_with_few_platform_calls() {
-    let mut net = settled();
+    let mut net = converged();
     (0..NODES).for_each(|node| net.kill(node));
     net.run(500);
     (0..NODES).for_each(|node| net.start(node));
@@ -221,9 +228,9 @@
 /// addresses and extreme ages.
 #[test]
 fn false_rumours_of_one_node_change_no_liveness() {
-    let mut net = settled();
+    let mut net = converged();
     for round in 0..200_u64 {
-        let about = |n: usize| Rumour {
+        let known = |n: usize| Rumour {
             of: Sender { address: address((round as usize * 50 + n) % NODES), incarnation: 1 },
             leaving: true,
         };
@@ -241,7 +248,7 @@
             failing: false,
             leaving: false,
             heard_ms: BTreeMap::from([("a".to_owned(), u64::MAX), ("nowhere".to_owned(), 0)]),
-            rumours: (0..50).flat_map(|n| [about(n), unknown(n)]).collect(),
+            rumours: (0..50).flat_map(|n| [known(n), unknown(n)]).collect(),
             piggyback: Piggyback::default(),
             reports: Vec::new(),
         };
--- a/crates/fleet/tests/listed.rs
+++ b/crates/fleet/tests/listed.rs
@@ -10,7 +10,7 @@
 /// Time limit for a change to be in force on every connected node, in ms.
 const IN_FORCE_WITHIN_MS: u64 = 2_000;
 
-fn settled() -> Net {
+fn converged() -> Net {
     let mut net = Net::new(&DATA_CENTRES);
     net.until(3_000, |net| net.all(|n| n.open && n.view.iter().count() == DATA_CENTRES.len()));
     net.run(3_000);
@@ -19,7 +19,7 @@
 
 #[test]
 fn a_version_is_in_force_on_all_nodes_within_600_ms() {
-    let mut net = settled();
+    let mut net = converged();
     let revision = net.publish();
     net.until(600, |net| net.all(|n| n.in_force == revision));
     assert!(net.regressions.is_empty());
@@ -27,7 +27,7 @@
 
 #[test]
 fn few_nodes_call_the_platform() {
-    let mut net = settled();
+    let mut net = converged();
     let before = net.reads;
     net.run(10_000);
     // A reader in each of three data centres, each call held for 0.8 s.
@@ -40,7 +40,7 @@
 fn nodes_that_the_platform_refuses_learn_from_others() {
     for treatment in [Treatment::Refuse, Treatment::Silent] {
         for refused in 0..DATA_CENTRES.len() {
-            let mut net = settled();
+            let mut net = converged();
             net.treat(refused, treatment);
             net.run(300);
             net.register(3, "i-3", Standing::Leaving);
@@ -51,17 +51,17 @@
     }
 }
 
-/// Guards against the same with every other node rejected at once.
+/// Guards against a version that spreads only while the readers of every data centre are served.
 #[test]
-fn one_node_that_the_platform_serves_is_enough() {
+fn one_node_with_platform_access_updates_all_others() {
     for served in 0..DATA_CENTRES.len() {
-        let mut net = settled();
+        let mut net = converged();
         net.treat_all(Treatment::Refuse);
         net.treat(served, Treatment::Serve);
         net.run(200);
         let revision = net.publish();
-        let took = net.until(IN_FORCE_WITHIN_MS, |net| net.all(|n| n.in_force == revision));
-        assert!(took < IN_FORCE_WITHIN_MS, "served {served}: {took} ms");
+        let elapsed = net.until(IN_FORCE_WITHIN_MS, |net| net.all(|n| n.in_force == revision));
+        assert!(elapsed < IN_FORCE_WITHIN_MS, "served {served}: {elapsed} ms");
     }
 }
 
@@ -69,7 +69,7 @@
 /// learn of it from peers or from a full copy.
 #[test]
 fn a_malformed_entry_removes_its_upstream_on_every_node() {
-    let mut net = settled();
+    let mut net = converged();
     let targets = |net: &Net, id: &str| (0..7).any(|n| net.targets(n).contains(&id.to_owned()));
     net.treat(1, Treatment::Refuse);
     net.write_malformed("i-3");
@@ -85,7 +85,7 @@
 /// Guards against treating an upstream that crashed while leaving and restarted under its name as leaving.
 #[test]
 fn an_upstream_that_starts_again_under_its_name_gets_calls() {
-    let mut net = settled();
+    let mut net = converged();
     let is_target = |net: &Net, n: usize| net.targets(n).contains(&"i-3".to_owned());
     net.treat(1, Treatment::Refuse);
     net.register_started(3, "i-3", Standing::Leaving, 5_000);
@@ -102,7 +102,7 @@
 /// Guards against answering 503 for a whole platform outage although peers hold the state.
 #[test]
 fn a_restarted_node_learns_from_others_while_the_platform_is_down() {
-    let mut net = settled();
+    let mut net = converged();
     net.treat_all(Treatment::Silent);
     net.run(2_000);
     net.kill(4);
@@ -116,7 +116,7 @@
 /// Guards against nodes that stay unready after a restart of all processes in a platform outage.
 #[test]
 fn a_mass_restart_in_an_outage_recovers_with_the_platform() {
-    let mut net = settled();
+    let mut net = converged();
     net.treat_all(Treatment::Silent);
     (0..DATA_CENTRES.len()).for_each(|node| net.kill(node));
     net.run(1_000);
@@ -130,7 +130,7 @@
 /// Guards against dropping live upstreams whose entries expired in an outage, and against keeping dead ones.
 #[test]
 fn entries_that_expired_in_an_outage_are_removed_after_a_grace_period() {
-    let mut net = settled();
+    let mut net = converged();
     net.treat_all(Treatment::Silent);
     net.run(3_000);
     for node in 0..DATA_CENTRES.len() {
@@ -155,8 +155,8 @@
 
 /// Guards against missing a removal that was compacted before the watch returned it.
 #[test]
-fn a_change_in_compacted_history_is_found() {
-    let mut net = settled();
+fn a_removal_in_compacted_history_is_applied() {
+    let mut net = converged();
     net.unregister("i-2");
     net.compact();
     net.publish();
@@ -168,7 +168,7 @@
 
 #[test]
 fn a_leaving_node_gets_no_calls_and_its_next_incarnation_does() {
-    let mut net = settled();
+    let mut net = converged();
     net.inject(1, Event::Leave);
     net.until(100, |net| (0..7).all(|n| n == 1 || !net.targets(n).contains(&"i-1".to_owned())));
     net.kill(1);
@@ -180,7 +180,7 @@
 /// Guards against calls to a data centre that only the platform can still reach.
 #[test]
 fn a_partitioned_data_centre_gets_no_calls_until_it_reconnects() {
-    let mut net = settled();
+    let mut net = converged();
     let (near, far) = ([0, 1, 2, 3, 4], [5, 6]);
     for a in near {
         for b in far {
@@ -199,7 +199,7 @@
 /// Guards against routing by a stale entry after its address was reused.
 #[test]
 fn the_later_of_two_entries_for_one_address_wins() {
-    let mut net = settled();
+    let mut net = converged();
     net.register(6, "i-new", Standing::Ready);
     net.until(IN_FORCE_WITHIN_MS, |net| {
         (0..7).all(|n| {
@@ -211,7 +211,7 @@
 
 #[test]
 fn frequent_versions_cause_few_platform_calls_and_no_regression() {
-    let mut net = settled();
+    let mut net = converged();
     let before = net.reads;
     let mut last = 0;
     for _ in 0..40 {
@@ -226,10 +226,10 @@
 /// Guards against applying the grace period of removals after a single lost call, which would keep calls
 /// going to a removed upstream.
 #[test]
-fn a_lost_call_of_one_node_is_no_outage() {
+fn a_lost_platform_call_of_one_node_does_not_delay_removals() {
     for lost in 0..DATA_CENTRES.len() {
         for wait in (100..2_500).step_by(200) {
-            let mut net = settled();
+            let mut net = converged();
             net.treat(lost, Treatment::Silent);
             net.run(4_000);
             net.treat(lost, Treatment::Serve);
--- a/crates/fleet/tests/listing.rs
+++ b/crates/fleet/tests/listing.rs
@@ -70,12 +70,12 @@
 }
 
 #[test]
-fn leaving_is_final_whatever_later_lists_say() {
+fn a_leaving_node_stays_leaving_in_later_lists() {
     let all: Vec<u16> = (1..=PEERS).collect();
     check(&[listing(1, &all, &[3]), listing(2, &all, &[])], &[2, 4, 5, 6]);
 }
 
 #[test]
-fn a_node_that_was_never_listed_keeps_its_work() {
+fn a_node_that_was_never_listed_still_takes_work() {
     check(&[listing(1, &[1, 2, 3, 4, 5], &[])], &[2, 3, 4, 5, 6]);
 }
--- a/crates/fleet/tests/mass_restart.rs
+++ b/crates/fleet/tests/mass_restart.rs
@@ -28,8 +28,8 @@
         net.set_source(Source::Up);
     }
     let newest = net.newest_valid();
-    let healed = net.run_until_in_force(newest, limit);
-    assert!(healed.is_some(), "{source:?}: not in force after {limit:?}");
+    let elapsed = net.run_until_in_force(newest, limit);
+    assert!(elapsed.is_some(), "{source:?}: not in force after {limit:?}");
     assert!(net.peak_reads <= READS_PER_SECOND, "{source:?}: {} reads in a second", net.peak_reads);
     assert_eq!(net.violations, Vec::<String>::new());
 }
@@ -55,8 +55,8 @@
     let mut net = Net::new(options);
     net.set_source(source);
     let newest = net.publish("profiles/base", Some("{}"));
-    let begun = net.run_until_in_force(newest, Duration::from_secs(5));
-    assert!(begun.is_some(), "{source:?}: not in force");
+    let elapsed = net.run_until_in_force(newest, Duration::from_secs(5));
+    assert!(elapsed.is_some(), "{source:?}: not in force");
     assert!(
         net.peak_reads <= READS_PER_SECOND / 2,
         "{source:?}: {} reads in a second",
--- a/crates/fleet/tests/matrix.rs
+++ b/crates/fleet/tests/matrix.rs
@@ -20,15 +20,15 @@
     Kill,
     Restart,
     Pause,
-    Separate,
-    Halve,
-    Crash,
-    Doubling,
+    Partition,
+    Split,
+    Loss,
+    Duplication,
     SourceDown,
     SourceStale,
     SourceSlow,
-    CutSource,
-    BadVersion,
+    BlockSource,
+    InvalidVersion,
     NextVersion,
     RestartAll,
     Leave,
@@ -38,15 +38,15 @@
     Fault::Kill,
     Fault::Restart,
     Fault::Pause,
-    Fault::Separate,
-    Fault::Halve,
-    Fault::Crash,
-    Fault::Doubling,
+    Fault::Partition,
+    Fault::Split,
+    Fault::Loss,
+    Fault::Duplication,
     Fault::SourceDown,
     Fault::SourceStale,
     Fault::SourceSlow,
-    Fault::CutSource,
-    Fault::BadVersion,
+    Fault::BlockSource,
+    Fault::InvalidVersion,
     Fault::NextVersion,
     Fault::RestartAll,
     Fault::Leave,
@@ -57,15 +57,15 @@
         Fault::Kill => net.kill(node),
         Fault::Restart => net.start(node),
         Fault::Pause => net.pause(node, FAULT_TIME),
-        Fault::Separate => net.set_partition(node, 1),
-        Fault::Halve => (0..NODES / 2).for_each(|n| net.set_partition(n, 1)),
-        Fault::Crash => net.loss = 60,
-        Fault::Doubling => net.duplication = 100,
+        Fault::Partition => net.set_partition(node, 1),
+        Fault::Split => (0..NODES / 2).for_each(|n| net.set_partition(n, 1)),
+        Fault::Loss => net.loss = 60,
+        Fault::Duplication => net.duplication = 100,
         Fault::SourceDown => net.set_source(Source::Down),
         Fault::SourceStale => net.set_source(Source::Stale),
         Fault::SourceSlow => net.set_source(Source::Slow(Duration::from_secs(1))),
-        Fault::CutSource => net.block_source(node),
-        Fault::BadVersion => {
+        Fault::BlockSource => net.block_source(node),
+        Fault::InvalidVersion => {
             net.publish("profiles/bad", Some("{\"deadline_ms\": -1}"));
         }
         Fault::NextVersion => {
@@ -103,10 +103,10 @@
     net.run(FAULT_TIME);
     heal(&mut net);
     let newest = net.newest_valid();
-    let healed = net.run_until_in_force(newest, CONVERGENCE_LIMIT);
+    let elapsed = net.run_until_in_force(newest, CONVERGENCE_LIMIT);
     let case = format!("{fault:?} at step {step} of node {node}");
     assert_eq!(net.violations, Vec::<String>::new(), "{case}");
-    assert!(healed.is_some(), "{case}: not everywhere in force");
+    assert!(elapsed.is_some(), "{case}: not in force on all nodes");
     assert!(net.peak_reads <= READS_PER_SECOND, "{case}: {} reads", net.peak_reads);
 }
 
--- a/crates/fleet/tests/member.rs
+++ b/crates/fleet/tests/member.rs
@@ -79,23 +79,23 @@
 
 /// A random record; small numbers, so that records often compete.
 #[derive(Clone, Debug)]
-struct Statement(Record);
+struct RandomRecord(Record);
 
-impl Arbitrary for Statement {
+impl Arbitrary for RandomRecord {
     fn arbitrary(g: &mut Gen) -> Self {
         let small = |g: &mut Gen| u64::arbitrary(g) % 3;
         let state = STATES[usize::arbitrary(g) % STATES.len()];
         let port = 2 + (u16::arbitrary(g) % 3);
-        Statement(record(port, small(g), small(g), state))
+        RandomRecord(record(port, small(g), small(g), state))
     }
 }
 
 #[test]
 fn the_order_of_records_does_not_matter() {
-    fn property(records: Vec<Statement>) -> bool {
-        let learn = |records: &mut dyn Iterator<Item = &Statement>| {
+    fn property(records: Vec<RandomRecord>) -> bool {
+        let learn = |records: &mut dyn Iterator<Item = &RandomRecord>| {
             let mut roster = Roster::new(record(1, 1, 0, State::Live), Time::default());
-            for Statement(record) in records {
+            for RandomRecord(record) in records {
                 roster.learn(record, Propagation::Gossip, Time::default());
             }
             roster.digest()
@@ -104,17 +104,17 @@
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(20, SEED))
-        .quickcheck(property as fn(Vec<Statement>) -> bool);
+        .quickcheck(property as fn(Vec<RandomRecord>) -> bool);
 }
 
 #[test]
 fn invalid_records_are_detected() {
-    let good = record(2, 1, 1, State::Live);
-    let named = |name: &str| Record { service: name.to_owned(), ..good.clone() };
-    assert_eq!(good.fault(), None);
+    let valid = record(2, 1, 1, State::Live);
+    let named = |name: &str| Record { service: name.to_owned(), ..valid.clone() };
+    assert_eq!(valid.fault(), None);
     assert!(named("").fault().is_some());
     assert!(named("Pay Desk").fault().is_some());
     assert!(named(&"x".repeat(64)).fault().is_some());
-    assert!(Record { sequence: u64::MAX, ..good.clone() }.fault().is_some());
-    assert!(Record { incarnation: u64::MAX, ..good.clone() }.fault().is_some());
+    assert!(Record { sequence: u64::MAX, ..valid.clone() }.fault().is_some());
+    assert!(Record { incarnation: u64::MAX, ..valid.clone() }.fault().is_some());
 }
--- a/crates/fleet/tests/net/mod.rs
+++ b/crates/fleet/tests/net/mod.rs
@@ -31,7 +31,7 @@
 /// Bits per millisecond on a link of 1 Mbit/s.
 const BITS_PER_MS: u64 = 1_000;
 
-/// Time after which a call to a silent store fails, in ms.
+/// Time after which a call to an unresponsive store fails, in ms.
 const CALL_TIMEOUT_MS: u64 = 1_500;
 
 /// How the store answers the calls of a node.
@@ -45,7 +45,7 @@
 /// A message or call in transit.
 enum Delivery {
     Event(usize, u64, Event),
-    Ask { from: usize, incarnation: u64, to: usize, request: Request, until: u64 },
+    Request { from: usize, incarnation: u64, to: usize, request: Request, until: u64 },
     Read { node: usize, incarnation: u64, query: Query, until: u64 },
 }
 
@@ -165,7 +165,7 @@
             seed: node as u64 * 1_000 + self.nodes[node].incarnation,
             product: String::new(),
         };
-        self.nodes[node].control = Some(Control::new(settings, self.moment()));
+        self.nodes[node].control = Some(Control::new(settings, self.timestamp()));
         self.nodes[node].in_force = 0;
         self.nodes[node].expected = 0;
         self.nodes[node].open = false;
@@ -204,12 +204,12 @@
 
     /// Publishes a new configuration; returns its revision.
     pub(crate) fn publish(&mut self) -> u64 {
-        self.store.publish(Content::Good)
+        self.store.publish(Content::Valid)
     }
 
     /// Publishes an invalid configuration; returns its revision.
-    pub(crate) fn publish_bad(&mut self) -> u64 {
-        self.store.publish(Content::Bad)
+    pub(crate) fn publish_invalid(&mut self) -> u64 {
+        self.store.publish(Content::Invalid)
     }
 
     pub(crate) fn register(&mut self, node: usize, id: &str, standing: Standing) -> u64 {
@@ -258,7 +258,7 @@
     }
 
     /// Withdraws the evacuation of `data_centre`.
-    pub(crate) fn take_back(&mut self, data_centre: &str) -> u64 {
+    pub(crate) fn withdraw(&mut self, data_centre: &str) -> u64 {
         self.store.write_order(data_centre, Value::Deleted)
     }
 
@@ -280,8 +280,8 @@
     /// Returns the ids of the upstreams to which a node routes calls.
     pub(crate) fn targets(&self, node: usize) -> Vec<String> {
         let upstreams = self.nodes[node].view.upstreams("shelfview").iter();
-        let able = upstreams.filter(|u| u.state.takes_work());
-        able.map(|u| u.instance.clone()).collect()
+        let available = upstreams.filter(|u| u.state.takes_work());
+        available.map(|u| u.instance.clone()).collect()
     }
 
     /// Returns whether a node routes calls to the upstream `id`.
@@ -329,7 +329,7 @@
         self.nodes.iter().filter(|n| n.control.is_some()).all(holds)
     }
 
-    fn moment(&self) -> Now {
+    fn timestamp(&self) -> Now {
         Now { time: Time::from_millis(self.now), wall_ms: self.now }
     }
 
@@ -345,11 +345,11 @@
                     self.apply(node, event);
                 }
             }
-            Delivery::Ask { from, incarnation, to, request, until } => {
+            Delivery::Request { from, incarnation, to, request, until } => {
                 let method = method(&request);
                 let Some(response) = self.handle_request(to, request) else {
-                    let lost = Event::Failed(address(to), Error { method, malformed: None });
-                    return self.schedule(DELAY_MS, Delivery::Event(from, incarnation, lost));
+                    let failed = Event::Failed(address(to), Error { method, malformed: None });
+                    return self.schedule(DELAY_MS, Delivery::Event(from, incarnation, failed));
                 };
                 let arrival = self.transmit(from, to, until, &response);
                 let event = if arrival <= until {
@@ -384,7 +384,7 @@
     }
 
     fn handle_request(&mut self, to: usize, request: Request) -> Option<Response> {
-        let now = self.moment();
+        let now = self.timestamp();
         let effects = self.nodes[to].control.as_mut()?.apply(Event::Request(request), now);
         let mut reply = None;
         for effect in effects {
@@ -397,7 +397,7 @@
     }
 
     fn apply(&mut self, node: usize, event: Event) {
-        let now = self.moment();
+        let now = self.timestamp();
         let Some(control) = self.nodes[node].control.as_mut() else { return };
         for effect in control.apply(event, now) {
             self.execute(node, effect);
@@ -408,7 +408,7 @@
         let incarnation = self.nodes[node].incarnation;
         match effect {
             Effect::Gossip(targets, digest) => {
-                let bytes = serde_json::to_vec(&digest).expect("messages have a JSON form").len();
+                let bytes = serde_json::to_vec(&digest).expect("messages serialize to JSON").len();
                 let targets: Vec<usize> =
                     targets.into_iter().filter_map(|t| self.index(t)).collect();
                 for to in targets {
@@ -476,11 +476,16 @@
             .filter(|_| !(is_lost && method == Method::Pull))
             .filter(|&to| !self.cut.contains(&(node, to)) && self.nodes[to].control.is_some());
         match reachable {
-            Some(to) => self
-                .schedule(DELAY_MS, Delivery::Ask { from: node, incarnation, to, request, until }),
+            Some(to) => self.schedule(
+                DELAY_MS,
+                Delivery::Request { from: node, incarnation, to, request, until },
+            ),
             None => {
-                let lost = Event::Failed(peer, Error { method, malformed: None });
-                self.schedule(timeout.as_millis() as u64, Delivery::Event(node, incarnation, lost));
+                let failed = Event::Failed(peer, Error { method, malformed: None });
+                self.schedule(
+                    timeout.as_millis() as u64,
+                    Delivery::Event(node, incarnation, failed),
+                );
             }
         }
     }
@@ -512,7 +517,7 @@
 
     fn poll_store(&mut self, node: usize, incarnation: u64, query: Query, until: u64) {
         if self.treatment[node] != Treatment::Serve {
-            let failure = Failure::Unreachable("the store went away".to_owned());
+            let failure = Failure::Unreachable("the store stopped serving".to_owned());
             return self.fail(node, incarnation, CALL_TIMEOUT_MS, failure);
         }
         let Query::Changes { after, .. } = query else { return };
@@ -564,5 +569,5 @@
         Response::Fetch(update) => serde_json::to_vec(update),
         Response::Heartbeat(_) | Response::Sync(_) => return 0,
     };
-    8 * bytes.expect("messages have a JSON form").len() as u64
+    8 * bytes.expect("messages serialize to JSON").len() as u64
 }
--- a/crates/fleet/tests/net/store.rs
+++ b/crates/fleet/tests/net/store.rs
@@ -15,8 +15,8 @@
 /// Whether a configuration is valid.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Content {
-    Good,
-    Bad,
+    Valid,
+    Invalid,
 }
 
 /// Value of a key.
@@ -88,8 +88,8 @@
 
     /// Returns whether writes after revision `after` were compacted.
     pub(crate) fn is_compacted(&self, after: u64) -> bool {
-        let known = self.history.first().map_or(self.revision, |(first, _)| first - 1);
-        after < known
+        let oldest = self.history.first().map_or(self.revision, |(first, _)| first - 1);
+        after < oldest
     }
 
     /// Returns the changes after revision `after`, or a full copy.
@@ -126,7 +126,7 @@
 
     fn config(&self, revision: u64, content: Content) -> Delta {
         let mut delta = documents(revision, revision, self.routes, self.changed_routes);
-        if content == Content::Bad {
+        if content == Content::Invalid {
             delta.documents[0].text = "{\"deadline_ms\": -1}".into();
         }
         delta
--- a/crates/fleet/tests/quarantine.rs
+++ b/crates/fleet/tests/quarantine.rs
@@ -35,9 +35,9 @@
 }
 
 fn converged(data_centres: &[&'static str], nodes: usize) -> Net {
-    let zones: Vec<&'static str> =
+    let data_centres: Vec<&'static str> =
         (0..nodes).map(|n| data_centres[n * data_centres.len() / nodes]).collect();
-    let mut net = Net::new(&zones);
+    let mut net = Net::new(&data_centres);
     net.until(6_000, |net| net.all(|n| n.open && n.view.iter().count() == nodes));
     net.run(1_000);
     net
@@ -60,7 +60,10 @@
         crash_upstream(&mut net, node, &[FATAL, Fingerprint(node as u64 + 100)]);
     }
     net.until(LIMIT_MS, |net| is_quarantined(net, FATAL));
-    assert!(net.all(|node| node.quarantine.until.len() == 1), "bystanders run on");
+    assert!(
+        net.all(|node| node.quarantine.until.len() == 1),
+        "only the poison request is quarantined"
+    );
 }
 
 /// Guards against losing a report when its node is killed right after the crash.
@@ -169,7 +172,7 @@
 
 /// Guards against gossip about crashes that does not stop.
 #[test]
-fn reports_stop() {
+fn gossip_about_crashes_stops() {
     let mut net = converged(&DATA_CENTRES, NODES);
     for node in 0..NODES {
         let ran: Vec<Fingerprint> = (0..11).map(|n| Fingerprint(node as u64 * 100 + n)).collect();
@@ -184,8 +187,11 @@
     let idle_before: u64 = idle.bytes_received.iter().sum();
     idle.run(10_000);
     let idle_after: u64 = idle.bytes_received.iter().sum();
-    let (sent, usual) = (after - before, idle_after - idle_before);
-    assert!(sent <= usual + usual / 20, "{sent} bytes in ten seconds, usually {usual}");
+    let (sent, idle_bytes) = (after - before, idle_after - idle_before);
+    assert!(
+        sent <= idle_bytes + idle_bytes / 20,
+        "{sent} bytes in ten seconds, {idle_bytes} without crashes"
+    );
 }
 
 /// Guards against quarantine reports that exceed the control traffic budget of 8 KB/s per node.
@@ -201,8 +207,8 @@
     net.run(30_000);
     let before: u64 = net.bytes_received.iter().sum();
     net.run(10_000);
-    let a_node = (net.bytes_received.iter().sum::<u64>() - before) / NODES as u64 / 10;
-    assert!(a_node < 8_000, "{a_node} bytes a second and node");
+    let bytes_per_second = (net.bytes_received.iter().sum::<u64>() - before) / NODES as u64 / 10;
+    assert!(bytes_per_second < 8_000, "{bytes_per_second} bytes per second and node");
     net.kill(3);
     net.start(3);
     net.until(3 * LIMIT_MS, |net| net.all(|node| node.quarantine.until.len() == 40));
@@ -220,7 +226,7 @@
     let until = register.current().until.get(&FATAL).copied();
     assert_eq!(until, quarantined_until.map(|minute| at(minute * MINUTE_MS)));
     if let Some(until) = until {
-        let changes = register.refresh(until).expect("its time is over");
+        let changes = register.refresh(until).expect("the quarantine has expired");
         assert_eq!(changes, [Change::Released { request: FATAL }]);
     }
 }
--- a/crates/model/tests/routes.rs
+++ b/crates/model/tests/routes.rs
@@ -46,7 +46,7 @@
 }
 
 fn pick(g: &mut Gen, from: &[&'static str]) -> &'static str {
-    g.choose(from).expect("there is something to choose from")
+    g.choose(from).expect("the slice is not empty")
 }
 
 fn segments(g: &mut Gen, from: &[&'static str]) -> impl Iterator<Item = &'static str> {
@@ -80,7 +80,7 @@
     fn property(locations: Vec<Location>, calls: Vec<Call>) -> bool {
         let distinct: BTreeSet<Location> = locations.into_iter().collect();
         let locations: Vec<Location> = distinct.into_iter().collect();
-        let snapshot = build(&set(&locations)).expect("no two routes are for the same calls");
+        let snapshot = build(&set(&locations)).expect("the locations are distinct");
         calls.iter().all(|call| {
             let matches = |p: &&Location| p.host == call.host && call.path.starts_with(&p.prefix);
             let expect =
