--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -100,11 +100,11 @@
             Action::Finish if !running.is_empty() => {
                 let ended = running.remove(0);
                 let expect = waiting.iter().find(|(_, deadline)| **deadline > now).map(|w| *w.0);
-                let got = limiter.finish(ended, at(now), Some(Duration::from_millis(5)));
-                if got != expect.map(Ticket) {
-                    return TestResult::error(format!("{got:?} in place of {expect:?}"));
+                let granted = limiter.finish(ended, at(now), Some(Duration::from_millis(5)));
+                if granted != expect.map(Ticket) {
+                    return TestResult::error(format!("granted {granted:?}, expected {expect:?}"));
                 }
-                match got {
+                match granted {
                     Some(ticket) => {
                         waiting.retain(|&number, _| number > ticket.0);
                         running.push(ticket);
@@ -121,7 +121,11 @@
             Action::Wait(ms) => now += u64::from(ms),
         }
         if limiter.busy() != running.len() || limiter.busy() > SLOTS || limiter.waiting() > QUEUE {
-            return TestResult::error(format!("{} busy, {} run", limiter.busy(), running.len()));
+            return TestResult::error(format!(
+                "{} slots busy, {} calls running",
+                limiter.busy(),
+                running.len()
+            ));
         }
     }
     TestResult::passed()
--- a/crates/policy/tests/budget.rs
+++ b/crates/policy/tests/budget.rs
@@ -17,7 +17,7 @@
         let mut random = SmallRng::seed_from_u64(seed);
         let nodes = 13;
         let mut windows = vec![Window::default(); nodes];
-        let (mut calls, mut repeats) = (VecDeque::new(), VecDeque::new());
+        let (mut calls, mut retries) = (VecDeque::new(), VecDeque::new());
         for ms in 0..60_000_u64 {
             // The load alternates, so that a busy window is followed by a quiet one.
             let busy = (ms / 7_000) % 2 == 0;
@@ -28,20 +28,20 @@
             windows[node].record_call(&settings, at(ms));
             calls.push_back(ms);
             if random.random_bool(0.5) && windows[node].try_retry(&settings, nodes, at(ms)) {
-                repeats.push_back(ms);
+                retries.push_back(ms);
             }
-            let old = |then: &u64| ms - then > 10_000;
-            while repeats.front().is_some_and(old) {
-                repeats.pop_front();
+            let is_expired = |then: &u64| ms - then > 10_000;
+            while retries.front().is_some_and(is_expired) {
+                retries.pop_front();
             }
             // The bound uses the calls of this window or of the one before, whichever has more.
             while calls.front().is_some_and(|then| ms - then > 20_000) {
                 calls.pop_front();
             }
             let recent = calls.iter().filter(|then| ms - **then <= 10_000).count();
-            let former = calls.len() - recent;
-            let bound = settings.ratio * recent.max(former) as f64 + settings.slack;
-            assert!(repeats.len() as f64 <= bound, "seed {seed}, {ms} ms: {}", repeats.len());
+            let previous = calls.len() - recent;
+            let bound = settings.ratio * recent.max(previous) as f64 + settings.slack;
+            assert!(retries.len() as f64 <= bound, "seed {seed}, {ms} ms: {}", retries.len());
         }
     }
 }
--- a/crates/policy/tests/choice.rs
+++ b/crates/policy/tests/choice.rs
@@ -54,10 +54,10 @@
 #[test]
 fn local_upstreams_are_preferred() {
     let (healthy, ejected) = (warm(ms(1)), ejected());
-    let (near, far) = (candidate(&healthy, true), candidate(&healthy, false));
-    check(&[far, near, near, far], Reach::Failover, &[1, 2]);
-    check(&[far, candidate(&ejected, true)], Reach::Failover, &[0]);
-    check(&[far, far], Reach::LocalOnly, &[]);
+    let (local, remote) = (candidate(&healthy, true), candidate(&healthy, false));
+    check(&[remote, local, local, remote], Reach::Failover, &[1, 2]);
+    check(&[remote, candidate(&ejected, true)], Reach::Failover, &[0]);
+    check(&[remote, remote], Reach::LocalOnly, &[]);
     check(&[], Reach::Failover, &[]);
 }
 
@@ -87,7 +87,7 @@
         let candidates: Vec<Candidate<'_>> = records.iter().map(|r| candidate(r, true)).collect();
         let chosen =
             choose(&candidates, Reach::LocalOnly, Kind::Once, SLOW_START, now, &mut random);
-        let chosen = chosen.expect("there are two");
+        let chosen = chosen.expect("two candidates are available");
         count += usize::from(chosen == 0);
         records[chosen].begin();
         if records.iter().map(Record::in_flight).sum::<usize>() >= 20 {
@@ -139,18 +139,18 @@
     let mut record = warm(ms(1));
     record.begin();
     record.end(at(1_000), Sample::Unreachable);
-    let able = |record: &Record, now| {
+    let accepts = |record: &Record, now| {
         (record.accepts(Kind::Once, at(now)), record.accepts(Kind::Idempotent, at(now)))
     };
-    assert_eq!(able(&record, 1_400), (false, false));
-    assert_eq!(able(&record, 1_600), (false, true));
+    assert_eq!(accepts(&record, 1_400), (false, false));
+    assert_eq!(accepts(&record, 1_600), (false, true));
     record.begin();
-    assert_eq!(able(&record, 1_600), (false, false));
+    assert_eq!(accepts(&record, 1_600), (false, false));
     record.abandon();
-    assert_eq!(able(&record, 31_000), (true, true));
+    assert_eq!(accepts(&record, 31_000), (true, true));
     record.begin();
     record.end(at(1_700), Sample::Answered(ms(1)));
-    assert_eq!(able(&record, 1_700), (true, true));
+    assert_eq!(accepts(&record, 1_700), (true, true));
 }
 
 /// Guards against further calls to an unresponsive upstream until the failure limit is reached.
@@ -160,6 +160,6 @@
     unresponsive.begin();
     assert_eq!(unresponsive.end(at(9_000), Sample::TimedOut(ms(600))), Change::None);
     assert!(share(&unresponsive, &warm(ms(2)), at(9_001)) < 0.05);
-    let later = unresponsive.latency(at(60_000)).expect("it has one");
+    let later = unresponsive.latency(at(60_000)).expect("the record has a latency");
     assert!(later < ms(1), "{later:?}");
 }
--- a/crates/policy/tests/drain.rs
+++ b/crates/policy/tests/drain.rs
@@ -57,7 +57,7 @@
 
 /// The limit may be shorter than the time until the close.
 #[test]
-fn limit_before_the_close_still_closes_first() {
+fn limit_shorter_than_the_close_time_closes_before_the_end() {
     let plan = Plan { close: ms(3_000), limit: ms(1_000) };
     let progress = Progress { elapsed: ms(1_000), closed: None, idle: ms(0) };
     assert_eq!(next_step(plan, progress), Step::Close);
--- a/crates/policy/tests/latency.rs
+++ b/crates/policy/tests/latency.rs
@@ -16,12 +16,12 @@
 }
 
 /// Returns `count` log-normal times with the given mean in milliseconds and sigma.
-fn times(mean: f64, spread: f64, count: usize) -> Vec<Duration> {
+fn times(mean: f64, sigma: f64, count: usize) -> Vec<Duration> {
     let mut random = SmallRng::seed_from_u64(3);
     let mut draw = || {
         let radius = (-2.0 * random.random_range(f64::MIN_POSITIVE..1.0_f64).ln()).sqrt();
         let normal = radius * (std::f64::consts::TAU * random.random_range(0.0..1.0_f64)).cos();
-        Duration::from_secs_f64((mean.ln() - spread * spread / 2.0 + spread * normal).exp() / 1e3)
+        Duration::from_secs_f64((mean.ln() - sigma * sigma / 2.0 + sigma * normal).exp() / 1e3)
     };
     (0..count).map(|_| draw()).collect()
 }
@@ -35,8 +35,8 @@
 /// Guards against a mean over all routes of a service, which makes short calls beside long ones
 /// count as late on arrival.
 #[test]
-fn short_call_beside_long_ones_is_not_late_on_arrival() {
-    let of = |expected| {
+fn short_call_on_a_service_with_long_calls_is_not_late_on_arrival() {
+    let priority = |expected| {
         let timing = Timing {
             received: Time::default(),
             deadline: Time::from_millis(800),
@@ -48,15 +48,15 @@
         urgency::rank(Origin::Caller, 1, timing).priority
     };
     let lookups = estimate(&times(80.0, 0.8, 500));
-    assert!(of(lookups.mean()) < of(ms(400)), "{lookups:?}");
+    assert!(priority(lookups.mean()) < priority(ms(400)), "{lookups:?}");
 }
 
 /// Guards against hedged requests for healthy calls of a route with a high latency variance, which
 /// take slots under overload.
 #[test]
 fn at_most_four_percent_of_healthy_calls_are_hedged() {
-    for (mean, spread) in [(36.0, 0.8), (90.0, 0.3), (200.0, 0.5), (79.0, 0.8)] {
-        let times = times(mean, spread, 2_000);
+    for (mean, sigma) in [(36.0, 0.8), (90.0, 0.3), (200.0, 0.5), (79.0, 0.8)] {
+        let times = times(mean, sigma, 2_000);
         let mut latency = Estimate::new(times[0]);
         let mut hedged = 0;
         for time in &times {
@@ -70,7 +70,7 @@
             hedged += usize::from(*time > hedge_delay(hedge));
             latency.record(*time);
         }
-        assert!(hedged * 100 <= times.len() * 4, "{hedged} of {} at {spread}", times.len());
+        assert!(hedged * 100 <= times.len() * 4, "{hedged} of {} at {sigma}", times.len());
     }
 }
 
--- a/crates/policy/tests/placement.rs
+++ b/crates/policy/tests/placement.rs
@@ -45,7 +45,7 @@
     let mut counts = vec![0; candidates.len()];
     for _ in 0..DRAWS {
         let chosen = choose(candidates, Kind::Once, at(10_000), &mut random);
-        counts[chosen.expect("one is able")] += 1;
+        counts[chosen.expect("an upstream is available")] += 1;
     }
     counts.into_iter().map(|count| count * 100 / DRAWS).collect()
 }
@@ -73,21 +73,21 @@
 /// Guards against queues in one data centre while slots are free in another.
 #[test]
 fn calls_overflow_to_another_data_centre_before_a_queue_forms() {
-    let (near, far) = (record(80, 9), record(80, 3));
-    check(&[candidate(&near, Locality::DataCentre), candidate(&far, Locality::Remote)], 1);
-    let (near, far) = (record(80, 4), record(80, 3));
-    check(&[candidate(&near, Locality::DataCentre), candidate(&far, Locality::Remote)], 0);
+    let (local, remote) = (record(80, 9), record(80, 3));
+    check(&[candidate(&local, Locality::DataCentre), candidate(&remote, Locality::Remote)], 1);
+    let (local, remote) = (record(80, 4), record(80, 3));
+    check(&[candidate(&local, Locality::DataCentre), candidate(&remote, Locality::Remote)], 0);
 }
 
 /// Guards against traffic between data centres for calls with large responses while there are free
 /// slots nearby.
 #[test]
 fn calls_with_large_responses_stay_local_at_higher_load() {
-    let (near, far) = (record(80, 8), record(80, 1));
+    let (local, remote) = (record(80, 8), record(80, 1));
     for (response_bytes, expect) in [(0, 1), (400, 1), (5_000, 0)] {
-        let near = Candidate { response_bytes, ..candidate(&near, Locality::DataCentre) };
-        let far = Candidate { response_bytes, ..candidate(&far, Locality::Remote) };
-        check(&[near, far], expect);
+        let local = Candidate { response_bytes, ..candidate(&local, Locality::DataCentre) };
+        let remote = Candidate { response_bytes, ..candidate(&remote, Locality::Remote) };
+        check(&[local, remote], expect);
     }
 }
 
@@ -95,40 +95,41 @@
 /// to a full upstream nearby.
 #[test]
 fn refusals_lower_the_cost_of_other_data_centres() {
-    let (near, far) = (record(80, 9), record(80, 3));
+    let (local, remote) = (record(80, 9), record(80, 3));
     for (refusals, expect) in [(0, 0), (1, 0), (3, 1)] {
         let of = |record, locality| Candidate {
             response_bytes: 5_000,
             refusals,
             ..candidate(record, locality)
         };
-        check(&[of(&near, Locality::DataCentre), of(&far, Locality::Remote)], expect);
+        check(&[of(&local, Locality::DataCentre), of(&remote, Locality::Remote)], expect);
     }
 }
 
 /// A large body leaves its data centre once the queues there are as long as the slots.
 #[test]
 fn large_body_leaves_a_data_centre_with_long_queues() {
-    let (near, far) = (record(80, 25), record(80, 0));
-    let near = Candidate { request_bytes: 400_000, ..candidate(&near, Locality::Instance) };
-    let far = Candidate { request_bytes: 400_000, ..candidate(&far, Locality::Remote) };
-    check(&[near, far], 1);
+    let (local, remote) = (record(80, 25), record(80, 0));
+    let local = Candidate { request_bytes: 400_000, ..candidate(&local, Locality::Instance) };
+    let remote = Candidate { request_bytes: 400_000, ..candidate(&remote, Locality::Remote) };
+    check(&[local, remote], 1);
 }
 
 #[test]
 fn large_bodies_stay_local_at_higher_load() {
-    let (near, far) = (record(80, 9), record(80, 3));
-    let near = Candidate { request_bytes: 60_000, ..candidate(&near, Locality::DataCentre) };
-    let far = Candidate { request_bytes: 60_000, ..candidate(&far, Locality::Remote) };
-    check(&[near, far], 0);
+    let (local, remote) = (record(80, 9), record(80, 3));
+    let local = Candidate { request_bytes: 60_000, ..candidate(&local, Locality::DataCentre) };
+    let remote = Candidate { request_bytes: 60_000, ..candidate(&remote, Locality::Remote) };
+    check(&[local, remote], 0);
 }
 
 #[test]
 fn large_body_stays_on_its_instance_while_slots_are_free() {
-    let (own, near) = (record(80, 4), record(80, 2));
-    let own = Candidate { request_bytes: 60_000, ..candidate(&own, Locality::Instance) };
-    let near = Candidate { request_bytes: 60_000, ..candidate(&near, Locality::DataCentre) };
-    check(&[own, near], 0);
+    let (colocated, local) = (record(80, 4), record(80, 2));
+    let colocated =
+        Candidate { request_bytes: 60_000, ..candidate(&colocated, Locality::Instance) };
+    let local = Candidate { request_bytes: 60_000, ..candidate(&local, Locality::DataCentre) };
+    check(&[colocated, local], 0);
 }
 
 /// Guards against late calls at a slow upstream whose slots are no fuller than those of others.
@@ -169,12 +170,15 @@
 #[test]
 fn tried_upstreams_are_excluded_and_ejected_ones_come_last() {
     let healthy = record(80, 9);
-    let mut out = record(80, 0);
-    out.begin();
-    out.end(at(9_900), Sample::Unreachable);
-    check(&[candidate(&out, Locality::DataCentre), candidate(&healthy, Locality::DataCentre)], 1);
+    let mut ejected = record(80, 0);
+    ejected.begin();
+    ejected.end(at(9_900), Sample::Unreachable);
+    check(
+        &[candidate(&ejected, Locality::DataCentre), candidate(&healthy, Locality::DataCentre)],
+        1,
+    );
     let tried = Candidate { tried: true, ..candidate(&healthy, Locality::DataCentre) };
-    check(&[tried, candidate(&out, Locality::DataCentre)], 1);
+    check(&[tried, candidate(&ejected, Locality::DataCentre)], 1);
     let mut random = SmallRng::seed_from_u64(5);
     assert_eq!(choose(&[tried], Kind::Once, at(10_000), &mut random), None);
 }
@@ -191,14 +195,14 @@
 /// doubled its ejection.
 #[test]
 fn only_ejections_for_failed_connections_end_early() {
-    let mut out = record(80, 0);
+    let mut ejected = record(80, 0);
     for _ in 0..4 {
-        out.begin();
-        out.end(at(9_900), Sample::Unreachable);
+        ejected.begin();
+        ejected.end(at(9_900), Sample::Unreachable);
     }
-    assert!(out.is_ejected(at(10_000)));
-    out.reinstate(at(10_000));
-    assert!(!out.is_ejected(at(10_000)));
+    assert!(ejected.is_ejected(at(10_000)));
+    ejected.reinstate(at(10_000));
+    assert!(!ejected.is_ejected(at(10_000)));
     let mut failing = record(80, 0);
     for _ in 0..3 {
         failing.begin();
--- a/crates/policy/tests/retry.rs
+++ b/crates/policy/tests/retry.rs
@@ -56,13 +56,13 @@
     cov_mark::check!(retry_budget_spent);
     let mut budget = Budget::default();
     let calls = 10_000;
-    let mut extra = 0;
+    let mut retries = 0;
     for _ in 0..calls {
         budget.earn(10);
         let failed = attempt(Outcome::Unknown(Doubt::Timeout), Kind::Idempotent);
-        extra += u32::from(decide(failed, &mut budget) == Step::Retry);
+        retries += u32::from(decide(failed, &mut budget) == Step::Retry);
     }
-    assert!(extra <= calls / 10 + 10, "{extra} retries of {calls} calls");
+    assert!(retries <= calls / 10 + 10, "{retries} retries of {calls} calls");
 }
 
 /// Attempts that did not reach an upstream are retried without the budget.
@@ -70,10 +70,10 @@
 fn retries_without_load_need_no_budget() {
     let mut budget = Budget::default();
     while budget.spend() {}
-    let free = attempt(not_run(Cause::Unreachable), Kind::Once);
-    let paid = attempt(not_run(Cause::Overloaded), Kind::Once);
-    assert_eq!(decide(free, &mut budget), Step::Retry);
-    assert_eq!(decide(paid, &mut budget), Step::GiveUp);
+    let unreached = attempt(not_run(Cause::Unreachable), Kind::Once);
+    let overloaded = attempt(not_run(Cause::Overloaded), Kind::Once);
+    assert_eq!(decide(unreached, &mut budget), Step::Retry);
+    assert_eq!(decide(overloaded, &mut budget), Step::GiveUp);
 }
 
 /// Guards against refusals for a healthy service because calls to unresponsive upstreams fill the
@@ -81,17 +81,17 @@
 #[test]
 fn unresponsive_service_leaves_capacity_for_others() {
     let capacity = Capacity { calls: 100, ..Capacity::default() };
-    let mut hanging = 0;
-    while capacity.admits(hanging, hanging) {
-        hanging += 1;
+    let mut unresponsive = 0;
+    while capacity.admits(unresponsive, unresponsive) {
+        unresponsive += 1;
     }
-    assert_eq!(hanging, 50);
+    assert_eq!(unresponsive, 50);
     let mut other = 0;
-    while capacity.admits(other, hanging + other) {
+    while capacity.admits(other, unresponsive + other) {
         other += 1;
     }
     assert_eq!(other, 25);
-    assert!(capacity.admits(0, hanging + other));
+    assert!(capacity.admits(0, unresponsive + other));
 }
 
 #[track_caller]
--- a/crates/policy/tests/shares.rs
+++ b/crates/policy/tests/shares.rs
@@ -80,8 +80,8 @@
                 kinds.push(kind);
                 counts.entry(kind).or_insert((0, 0)).0 += 1;
                 let (rank, deadline) = rank_of(kind, at);
-                let entry = limiter.admit_ranked(ticket, rank, at, deadline, 64);
-                (entry == Decision::Run).then_some(ticket)
+                let decision = limiter.admit_ranked(ticket, rank, at, deadline, 64);
+                (decision == Decision::Run).then_some(ticket)
             }
             Event::Finish(ticket) => {
                 let time =
@@ -98,16 +98,16 @@
         }
     }
     let share =
-        |kind| counts.get(&kind).map_or(0.0, |(asked, ran)| f64::from(*ran) / f64::from(*asked));
+        |kind| counts.get(&kind).map_or(0.0, |(calls, ran)| f64::from(*ran) / f64::from(*calls));
     (share(Kind::Upload), share(Kind::Check))
 }
 
 /// Runs the simulation with several seeds and compares the shares with lower bounds.
 #[track_caller]
-fn check(uploads: f64, checks: f64, least: (f64, f64)) {
+fn check(uploads: f64, checks: f64, min_shares: (f64, f64)) {
     for seed in 0..5 {
-        let got = simulate(uploads, checks, seed);
-        assert!(got.0 >= least.0 && got.1 >= least.1, "{got:?}, seed {seed}");
+        let shares = simulate(uploads, checks, seed);
+        assert!(shares.0 >= min_shares.0 && shares.1 >= min_shares.1, "{shares:?}, seed {seed}");
     }
 }
 
@@ -128,7 +128,7 @@
     check(0.35, 0.35, (0.97, 0.97));
 }
 
-/// Both classes ask for more than half of the slots.
+/// Both classes demand more than half of the slots.
 #[test]
 fn neither_class_starves_under_overload_of_both() {
     check(1.0, 1.0, (0.60, 0.35));
@@ -189,12 +189,12 @@
         assert_eq!(limiter.admit(ticket(n), at(now), at(now + 9_000), 64), Decision::Run);
     }
     let check = Rank { priority: 1, start_by: Some(at(now + 30)), class: Class::Nested };
-    let entry = limiter.admit_ranked(ticket(200), check, at(now), at(now + 400), 64);
-    let Decision::Wait(until) = entry else { panic!("{entry:?}") };
+    let decision = limiter.admit_ranked(ticket(200), check, at(now), at(now + 400), 64);
+    let Decision::Wait(until) = decision else { panic!("{decision:?}") };
     assert!(until > at(now + LONG_MS / slots as u64), "{until:?}");
     assert!(until <= at(now + 400 / 3 + 1), "{until:?}");
     // A second nested call would wait too long, whatever its deadline.
-    let third = limiter.admit_ranked(ticket(201), check, at(now), at(now + 60), 64);
-    assert!(matches!(third, Decision::Refuse(_)), "{third:?}");
+    let second = limiter.admit_ranked(ticket(201), check, at(now), at(now + 60), 64);
+    assert!(matches!(second, Decision::Refuse(_)), "{second:?}");
     assert_eq!(limiter.finish(ticket(100), at(now + 32), None), Some(ticket(200)));
 }
--- a/crates/policy/tests/suspects.rs
+++ b/crates/policy/tests/suspects.rs
@@ -9,11 +9,11 @@
 enum Step {
     Answer(u64),
     Lose(u64, Loss),
-    Survive,
+    ClearBroken,
 }
 
 use Loss::{Abandoned, Broken};
-use Step::{Answer, Lose, Survive};
+use Step::{Answer, ClearBroken, Lose};
 
 fn suspect(request: u64) -> Suspect {
     Suspect { request: Fingerprint(request), label: format!("GET /{request}") }
@@ -28,7 +28,7 @@
         match step {
             Answer(request) => history.record_answer(Fingerprint(*request), now),
             Lose(request, loss) => history.record_loss(suspect(*request), *loss, now),
-            Survive => history.clear_broken(),
+            ClearBroken => history.clear_broken(),
         }
     }
     let expect: Vec<Suspect> = expect.iter().copied().map(suspect).collect();
@@ -55,15 +55,15 @@
 
 /// Guards against suspects from a truncated answer of an upstream that is still running.
 #[test]
-fn call_broken_before_a_sign_of_life_is_not_a_suspect() {
-    check(&[(0, Lose(1, Broken)), (50, Survive), (60, Lose(2, Broken))], 100, &[2]);
+fn call_broken_before_the_upstream_proved_to_be_alive_is_not_a_suspect() {
+    check(&[(0, Lose(1, Broken)), (50, ClearBroken), (60, Lose(2, Broken))], 100, &[2]);
 }
 
 /// Guards against a poison request that escapes because its caller cancelled before the upstream
 /// crashed.
 #[test]
-fn cancelled_call_stays_a_suspect_after_a_sign_of_life() {
-    check(&[(0, Lose(1, Abandoned)), (50, Survive), (60, Lose(2, Broken))], 100, &[1, 2]);
+fn cancelled_call_stays_a_suspect_after_the_upstream_proved_to_be_alive() {
+    check(&[(0, Lose(1, Abandoned)), (50, ClearBroken), (60, Lose(2, Broken))], 100, &[1, 2]);
 }
 
 #[test]
--- a/crates/policy/tests/transfer.rs
+++ b/crates/policy/tests/transfer.rs
@@ -16,8 +16,8 @@
 use std::{cmp::Reverse, collections::BinaryHeap, time::Duration};
 
 const LINKS: usize = 11;
-const CROSSING_MS: u64 = 100;
-const WORK_MS: u64 = 240;
+const TRANSFER_MS: u64 = 100;
+const SERVICE_MS: u64 = 240;
 const OBJECTIVE_MS: u64 = 1_000;
 const OFFERS: usize = 4;
 
@@ -36,7 +36,7 @@
         attempt: Attempt::First,
         elapsed: ms(0),
         objective: ms(OBJECTIVE_MS),
-        expected: ms(CROSSING_MS + WORK_MS),
+        expected: ms(TRANSFER_MS + SERVICE_MS),
     }
 }
 
@@ -45,21 +45,21 @@
 fn simulate(load: f64, start_by: fn(Timing) -> Time) -> (f64, f64) {
     let mut random = SmallRng::seed_from_u64(11);
     let mut limiters: Vec<Limiter> = (0..LINKS).map(|_| Limiter::new(1)).collect();
-    let mut ends: BinaryHeap<(Reverse<u64>, usize, u64)> = BinaryHeap::new();
+    let mut transfers: BinaryHeap<(Reverse<u64>, usize, u64)> = BinaryHeap::new();
     let mut arrivals = Vec::new();
-    let (mut taken, mut in_time) = (0, 0);
+    let (mut admitted, mut in_time) = (0, 0);
     let mut now = 0.0;
     while now < 60_000.0 {
-        now += -random.random_range(f64::MIN_POSITIVE..1.0_f64).ln() * CROSSING_MS as f64
+        now += -random.random_range(f64::MIN_POSITIVE..1.0_f64).ln() * TRANSFER_MS as f64
             / (load * LINKS as f64);
         let arrived = now as u64;
-        while ends.peek().is_some_and(|(Reverse(end), ..)| *end <= arrived) {
-            let (Reverse(end), link, ended) = ends.pop().expect("an end was seen");
+        while transfers.peek().is_some_and(|(Reverse(end), ..)| *end <= arrived) {
+            let (Reverse(end), link, ended) = transfers.pop().expect("the heap is not empty");
             if let Some(Ticket(next)) =
-                limiters[link].finish(Ticket(ended), at(end), Some(ms(CROSSING_MS)))
+                limiters[link].finish(Ticket(ended), at(end), Some(ms(TRANSFER_MS)))
             {
-                ends.push((Reverse(end + CROSSING_MS), link, next));
-                let answered = end + CROSSING_MS + WORK_MS;
+                transfers.push((Reverse(end + TRANSFER_MS), link, next));
+                let answered = end + TRANSFER_MS + SERVICE_MS;
                 in_time += usize::from(answered - arrivals[next as usize] <= OBJECTIVE_MS);
             }
         }
@@ -69,21 +69,21 @@
             Rank { priority: 1, start_by: Some(start_by(first(arrived))), ..Rank::default() };
         for _ in 0..OFFERS {
             let link = random.random_range(0..LINKS);
-            let entry =
+            let decision =
                 limiters[link].admit_ranked(ticket, rank, at(arrived), at(arrived + 4_000), 16);
-            match entry {
+            match decision {
                 Decision::Refuse(_) => continue,
                 Decision::Wait(_) => {}
                 Decision::Run => {
-                    ends.push((Reverse(arrived + CROSSING_MS), link, ticket.0));
+                    transfers.push((Reverse(arrived + TRANSFER_MS), link, ticket.0));
                     in_time += 1;
                 }
             }
-            taken += 1;
+            admitted += 1;
             break;
         }
     }
-    (f64::from(taken) / arrivals.len() as f64, in_time as f64 / arrivals.len() as f64)
+    (f64::from(admitted) / arrivals.len() as f64, in_time as f64 / arrivals.len() as f64)
 }
 
 /// Guards against refusals at a load of 0.9, where each link has a body queued and the wait allowed
@@ -91,19 +91,24 @@
 #[test]
 fn body_waits_for_the_link_while_it_can_meet_its_objective() {
     let slot_start_by = |timing| {
-        urgency::rank(Origin::Caller, 1, timing).start_by.expect("callers wait for a bounded time")
+        urgency::rank(Origin::Caller, 1, timing)
+            .start_by
+            .expect("external calls have a latest start")
     };
-    let (slot_taken, _) = simulate(0.9, slot_start_by);
-    let (taken, in_time) = simulate(0.9, transfer::start_by);
-    assert!(slot_taken < 0.95 && taken > 0.99 && in_time > 0.98, "{slot_taken} {taken} {in_time}");
+    let (slot_admitted, _) = simulate(0.9, slot_start_by);
+    let (admitted, in_time) = simulate(0.9, transfer::start_by);
+    assert!(
+        slot_admitted < 0.95 && admitted > 0.99 && in_time > 0.98,
+        "{slot_admitted} {admitted} {in_time}"
+    );
 }
 
 /// Guards against late answers of admitted uploads under overload.
 #[test]
 fn admitted_bodies_meet_their_objective_under_overload() {
-    let (taken, in_time) = simulate(1.3, transfer::start_by);
-    assert!(taken > 0.74, "{taken}");
-    assert!(in_time > 0.95 * taken, "{in_time} of {taken}");
+    let (admitted, in_time) = simulate(1.3, transfer::start_by);
+    assert!(admitted > 0.74, "{admitted}");
+    assert!(in_time > 0.95 * admitted, "{in_time} of {admitted}");
 }
 
 #[track_caller]
--- a/crates/policy/tests/warmup.rs
+++ b/crates/policy/tests/warmup.rs
@@ -13,9 +13,9 @@
 const EXCESS: Excess = Excess { factor: 1.5, slack: 8.0 };
 
 /// Upper bound of calls that reach a cold upstream in any second.
-const BOUND: usize = 24;
+const MAX_CALLS_PER_SECOND: usize = 24;
 
-const SECOND: u64 = 1_000;
+const SECOND_MS: u64 = 1_000;
 const SLOTS: usize = 6;
 const QUEUE: usize = 64;
 
@@ -33,8 +33,8 @@
 }
 
 /// Returns the largest number of calls in any second.
-fn most_in_a_second(times: &[u64]) -> usize {
-    let within = |from: u64| times.iter().filter(|t| (from..from + SECOND).contains(t)).count();
+fn peak_in_a_second(times: &[u64]) -> usize {
+    let within = |from: u64| times.iter().filter(|t| (from..from + SECOND_MS).contains(t)).count();
     times.iter().map(|&from| within(from)).max().unwrap_or(0)
 }
 
@@ -53,7 +53,7 @@
             let mut granted = limiter.grant_waiting(at(now));
             running.make_contiguous().sort_by_key(|run| run.0);
             while running.front().is_some_and(|run| run.0 <= now) {
-                let (_, ticket, reaches) = running.pop_front().expect("it is there");
+                let (_, ticket, reaches) = running.pop_front().expect("the queue is not empty");
                 let time = reaches.then_some(Duration::from_millis(50));
                 granted.extend(limiter.finish(ticket, at(now), time));
             }
@@ -72,8 +72,8 @@
                 running.push_back((now + random.random_range(1..200), ticket, reaches));
             }
         }
-        let most = most_in_a_second(&reached);
-        assert!(most <= BOUND, "seed {seed}: {most}");
+        let peak = peak_in_a_second(&reached);
+        assert!(peak <= MAX_CALLS_PER_SECOND, "seed {seed}: {peak}");
         // The rate is used: 11 calls per second over six seconds.
         assert!(reached.len() >= 60, "seed {seed}: {}", reached.len());
     }
@@ -98,11 +98,12 @@
     let mut limiter = Limiter::new(SLOTS);
     limiter.set_warm_up(eleven_per_second(3_000), at(0));
     let rank = Rank { start_by: Some(at(300)), ..Rank::default() };
-    let mut entries = (0..6).map(|n| limiter.admit_ranked(Ticket(n), rank, at(0), at(900), QUEUE));
-    assert_eq!(entries.next(), Some(Decision::Run));
-    assert!(entries.by_ref().take(3).all(|entry| matches!(entry, Decision::Wait(_))));
-    for entry in entries {
-        let Decision::Refuse(after) = entry else { panic!("{entry:?}") };
+    let mut decisions =
+        (0..6).map(|n| limiter.admit_ranked(Ticket(n), rank, at(0), at(900), QUEUE));
+    assert_eq!(decisions.next(), Some(Decision::Run));
+    assert!(decisions.by_ref().take(3).all(|decision| matches!(decision, Decision::Wait(_))));
+    for decision in decisions {
+        let Decision::Refuse(after) = decision else { panic!("{decision:?}") };
         assert!(after >= Duration::from_millis(300), "{after:?}");
     }
 }
@@ -140,8 +141,9 @@
 struct Upstream {
     limiter: Limiter,
     /// Start of the current incarnation, which is cold at first.
-    up: u64,
-    warm: u64,
+    up_ms: u64,
+    /// Time from which the upstream is warm.
+    warm_ms: u64,
     reached: Vec<u64>,
     running: Vec<(u64, Ticket)>,
 }
@@ -157,10 +159,10 @@
 const UPSTREAMS: usize = 14;
 
 /// Duration of a call in ms; doubled while cold.
-const CALL: u64 = 60;
+const CALL_MS: u64 = 60;
 
 /// Calls per second: three quarters of the capacity of warm upstreams.
-const LOAD: u64 = 1_050;
+const CALLS_PER_SECOND: u64 = 1_050;
 
 /// Attempts of a caller that retries at once; a third of them do.
 const EARLY_RETRY_ATTEMPTS: u64 = 3;
@@ -171,8 +173,8 @@
     let mut upstreams: Vec<Upstream> = (0..UPSTREAMS)
         .map(|_| Upstream {
             limiter: Limiter::new(SLOTS),
-            up: 0,
-            warm: 3_000,
+            up_ms: 0,
+            warm_ms: 3_000,
             reached: Vec::new(),
             running: Vec::new(),
         })
@@ -181,9 +183,10 @@
     let mut ticket = 0;
     for now in 0..12_000 {
         for upstream in &mut upstreams {
-            upstream.work(now, guard, &mut answered);
+            upstream.step(now, guard, &mut answered);
         }
-        let arrivals = (now + 1) * LOAD / SECOND - now * LOAD / SECOND;
+        let arrivals =
+            (now + 1) * CALLS_PER_SECOND / SECOND_MS - now * CALLS_PER_SECOND / SECOND_MS;
         for _ in 0..arrivals {
             let attempts = if random.random_bool(1.0 / 3.0) { EARLY_RETRY_ATTEMPTS } else { 1 };
             for _ in 0..attempts {
@@ -199,13 +202,13 @@
 }
 
 impl Upstream {
-    fn work(&mut self, now: u64, guard: Guard, answered: &mut [u64]) {
-        if now < self.up {
+    fn step(&mut self, now: u64, guard: Guard, answered: &mut [u64]) {
+        if now < self.up_ms {
             return;
         }
         match guard {
-            Guard::TokenBucket if now < self.warm => {
-                self.limiter.set_warm_up(limit(self.warm), at(now))
+            Guard::TokenBucket if now < self.warm_ms => {
+                self.limiter.set_warm_up(limit(self.warm_ms), at(now))
             }
             Guard::TokenBucket | Guard::None => self.limiter.end_warm_up(),
         }
@@ -213,8 +216,8 @@
         self.running = running;
         let done: Vec<(u64, Ticket)> = done;
         for (_, ticket) in done {
-            answered[(now / SECOND) as usize] += 1;
-            let next = self.limiter.finish(ticket, at(now), Some(Duration::from_millis(CALL)));
+            answered[(now / SECOND_MS) as usize] += 1;
+            let next = self.limiter.finish(ticket, at(now), Some(Duration::from_millis(CALL_MS)));
             next.into_iter().for_each(|ticket| self.run(ticket, now));
         }
         for ticket in self.limiter.grant_waiting(at(now)) {
@@ -224,7 +227,7 @@
 
     /// Returns whether the call runs or waits.
     fn offer(&mut self, ticket: Ticket, now: u64) -> bool {
-        if now < self.up {
+        if now < self.up_ms {
             return false;
         }
         match self.limiter.admit(ticket, at(now), at(now + 600), QUEUE) {
@@ -237,28 +240,28 @@
 
     fn run(&mut self, ticket: Ticket, now: u64) {
         self.reached.push(now);
-        let is_cold = now < self.warm;
-        let last = self.reached.iter().filter(|&&t| t + SECOND > now).count();
-        if is_cold && last > BOUND {
+        let is_cold = now < self.warm_ms;
+        let last = self.reached.iter().filter(|&&t| t + SECOND_MS > now).count();
+        if is_cold && last > MAX_CALLS_PER_SECOND {
             self.limiter = Limiter::new(SLOTS);
             self.running.clear();
             self.reached.clear();
-            self.up = now + 2_000;
-            self.warm = self.up + 3_000;
+            self.up_ms = now + 2_000;
+            self.warm_ms = self.up_ms + 3_000;
             return;
         }
-        let time = if is_cold { 2 * CALL } else { CALL };
+        let time = if is_cold { 2 * CALL_MS } else { CALL_MS };
         self.running.push((now + time, ticket));
     }
 }
 
 /// Guards against a metastable failure: upstreams that start cold under normal load crash and come
-/// back cold, again and again.
+/// back cold repeatedly.
 #[test]
 fn cold_start_of_all_upstreams_under_load_recovers() {
     let unguarded = cold_start(Guard::None);
-    assert!(unguarded[5..].iter().all(|&calls| calls < LOAD / 2), "{unguarded:?}");
+    assert!(unguarded[5..].iter().all(|&calls| calls < CALLS_PER_SECOND / 2), "{unguarded:?}");
     let guarded = cold_start(Guard::TokenBucket);
     // Three seconds cold and two more until full service.
-    assert!(guarded[5..].iter().all(|&calls| calls >= LOAD * 95 / 100), "{guarded:?}");
+    assert!(guarded[5..].iter().all(|&calls| calls >= CALLS_PER_SECOND * 95 / 100), "{guarded:?}");
 }
--- a/crates/telemetry/tests/metrics.rs
+++ b/crates/telemetry/tests/metrics.rs
@@ -81,7 +81,7 @@
     }
 }
 
-/// Guards against an absent counter that can't be told apart from an unsupported metric.
+/// Guards against an absent counter that cannot be distinguished from an unsupported metric.
 #[test]
 fn counter_of_rejected_versions_is_rendered_at_zero() {
     let meter = Meter::new().expect("the exporter registers");
