--- a/crates/traffic/tests/claims.rs
+++ b/crates/traffic/tests/claims.rs
@@ -70,7 +70,7 @@
         })
         .collect();
     for (i, call) in calls.into_iter().enumerate() {
-        let outcome = rig.runtime.block_on(call).expect("the task ends").expect("an answer comes");
+        let outcome = rig.runtime.block_on(call).expect("the task ends").expect("the node answers");
         let expect = u32::from(outcome == "answered");
         assert_eq!(rig.runs(&format!("w{i}")), expect, "{outcome}");
     }
@@ -92,7 +92,7 @@
     rig.nodes[0].proxy.leave();
     let answer = rig.call(&Call::post("/paydesk/a", "second"));
     assert_eq!((answer.outcome(), answer.header("baobab-cause")), ("not-run", "leaving"));
-    let first = rig.runtime.block_on(first).expect("the task ends").expect("an answer comes");
+    let first = rig.runtime.block_on(first).expect("the task ends").expect("the node answers");
     assert_eq!((first.outcome(), rig.runs("second")), ("answered", 0));
 }
 
@@ -123,8 +123,8 @@
 #[test]
 fn a_truncated_upload_is_never_forwarded() {
     let rig = Rig::new(vec![Settings::default()], PROFILE);
-    let cut = b"POST /paydesk/sales HTTP/1.1\r\nhost: n\r\nx-work: file\r\ncontent-length: 500\r\n\r\nhalf";
-    assert!(!exchange_raw(&rig, cut).contains(" 200 "));
+    let truncated = b"POST /paydesk/sales HTTP/1.1\r\nhost: n\r\nx-work: file\r\ncontent-length: 500\r\n\r\nhalf";
+    assert!(!exchange_raw(&rig, truncated).contains(" 200 "));
     let chunked = b"POST /paydesk/sales HTTP/1.1\r\nhost: n\r\nx-work: file\r\ntransfer-encoding: chunked\r\n\r\n4\r\nhalf\r\n";
     assert!(!exchange_raw(&rig, chunked).contains(" 200 "));
     assert_eq!(rig.call(&Call::get("/paydesk/sales")).outcome(), "answered");
--- a/crates/traffic/tests/cluster/mod.rs
+++ b/crates/traffic/tests/cluster/mod.rs
@@ -40,13 +40,13 @@
     /// Refuses the request, marked as not run.
     Refuse,
     /// Answers 421 with the identity of another upstream.
-    Other,
+    WrongInstance,
     /// Answers 503 without the mark of a refusal.
     Unmarked,
     /// Answers 200 without its stamp.
     Unstamped,
     /// Answers 200 with the id of another request.
-    Crossed,
+    WrongId,
     /// Answers 500.
     Fail,
     /// Answers 200 without a length and closes the connection.
@@ -108,11 +108,11 @@
 
     /// Restarts after a crash at the same address, answering requests.
     pub(crate) fn restart(&self) {
-        let begun = Instant::now();
+        let started = Instant::now();
         let listener = loop {
             match TcpListener::bind(self.address) {
                 Ok(listener) => break listener,
-                Err(error) => assert!(begun.elapsed() < TIMEOUT, "cannot bind: {error}"),
+                Err(error) => assert!(started.elapsed() < TIMEOUT, "cannot bind: {error}"),
             }
             thread::sleep(Duration::from_millis(2));
         };
@@ -121,7 +121,7 @@
     }
 
     fn listen(&self, listener: TcpListener) {
-        *self.open.lock().expect("no test panics here") = Some(Vec::new());
+        *self.open.lock().expect("the lock is not poisoned") = Some(Vec::new());
         let server = self.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -142,25 +142,26 @@
 
     /// Registers a connection; returns `false` after a crash.
     fn admit(&self, stream: &TcpStream) -> bool {
-        let mut open = self.open.lock().expect("no test panics here");
+        let mut open = self.open.lock().expect("the lock is not poisoned");
         let Some(open) = open.as_mut() else { return false };
         open.push(stream.try_clone().expect("a connection can be shared"));
         true
     }
 
     /// Crashes, but leaves the last connection open, as if its end were noticed later.
-    pub(crate) fn crash_but_one(&self) {
-        let mut open = self.open.lock().expect("no test panics here");
+    pub(crate) fn crash_except_last_connection(&self) {
+        let mut open = self.open.lock().expect("the lock is not poisoned");
         let mut streams = open.take().unwrap_or_default();
-        *self.held.lock().expect("no test panics here") = streams.pop();
+        *self.held.lock().expect("the lock is not poisoned") = streams.pop();
         drop(open);
         self.close(streams);
     }
 
     /// Crashes: closes the listener and every connection.
     pub(crate) fn crash(&self) {
-        let mut open = self.open.lock().expect("no test panics here").take().unwrap_or_default();
-        open.extend(self.held.lock().expect("no test panics here").take());
+        let mut open =
+            self.open.lock().expect("the lock is not poisoned").take().unwrap_or_default();
+        open.extend(self.held.lock().expect("the lock is not poisoned").take());
         self.close(open);
     }
 
@@ -173,25 +174,25 @@
     }
 
     pub(crate) fn set(&self, behaviour: Behaviour) {
-        *self.behaviour.lock().expect("no test panics here") = behaviour;
+        *self.behaviour.lock().expect("the lock is not poisoned") = behaviour;
     }
 
     pub(crate) fn received(&self) -> Vec<Received> {
-        self.received.lock().expect("no test panics here").clone()
+        self.received.lock().expect("the lock is not poisoned").clone()
     }
 
     fn serve(&self, stream: &mut TcpStream) {
         let mut buffer = Vec::new();
         while let Some(head) = read_head(stream, &mut buffer) {
-            let behaviour = *self.behaviour.lock().expect("no test panics here");
-            let seen = Received { head, body: Vec::new() };
+            let behaviour = *self.behaviour.lock().expect("the lock is not poisoned");
+            let request = Received { head, body: Vec::new() };
             if behaviour == Behaviour::Early {
-                let _ = stream.write_all(&answer(&seen, behaviour));
+                let _ = stream.write_all(&answer(&request, behaviour));
             }
-            let length = seen.header("content-length").and_then(|t| t.parse().ok()).unwrap_or(0);
+            let length = request.header("content-length").and_then(|t| t.parse().ok()).unwrap_or(0);
             let Some(body) = read_body(stream, &mut buffer, length) else { return };
-            let seen = Received { body, ..seen };
-            self.received.lock().expect("no test panics here").push(seen.clone());
+            let request = Received { body, ..request };
+            self.received.lock().expect("the lock is not poisoned").push(request.clone());
             match behaviour {
                 Behaviour::Close => return,
                 Behaviour::Crash => return self.crash(),
@@ -204,7 +205,8 @@
                 }
                 _ => {}
             }
-            if behaviour != Behaviour::Early && stream.write_all(&answer(&seen, behaviour)).is_err()
+            if behaviour != Behaviour::Early
+                && stream.write_all(&answer(&request, behaviour)).is_err()
             {
                 return;
             }
@@ -215,15 +217,15 @@
     }
 }
 
-fn answer(seen: &Received, behaviour: Behaviour) -> Vec<u8> {
-    let id = seen.header("x-id").unwrap_or_default();
+fn answer(request: &Received, behaviour: Behaviour) -> Vec<u8> {
+    let id = request.header("x-id").unwrap_or_default();
     let stamp = "x-stamp: s1\r\n";
     let head = match behaviour {
         Behaviour::Refuse => format!("503 Busy\r\nx-id: {id}\r\nx-refused: 1\r\n"),
-        Behaviour::Other => "421 Misdirected\r\nx-instance: other\r\n".to_owned(),
+        Behaviour::WrongInstance => "421 Misdirected\r\nx-instance: other\r\n".to_owned(),
         Behaviour::Unmarked => format!("503 Busy\r\nx-id: {id}\r\n{stamp}"),
         Behaviour::Unstamped => format!("200 OK\r\nx-id: {id}\r\n"),
-        Behaviour::Crossed => format!("200 OK\r\nx-id: another\r\n{stamp}"),
+        Behaviour::WrongId => format!("200 OK\r\nx-id: another\r\n{stamp}"),
         Behaviour::Fail => format!("500 Failed\r\nx-id: {id}\r\n{stamp}"),
         Behaviour::Early => format!("400 Bad\r\nx-id: {id}\r\n{stamp}"),
         Behaviour::Unframed => format!("200 OK\r\nx-id: {id}\r\n{stamp}connection: close\r\n"),
@@ -388,7 +390,7 @@
 
     pub(crate) fn connect(&self, node: usize) -> TcpStream {
         let stream = TcpStream::connect(self.callers[node]).expect("the node listens");
-        stream.set_read_timeout(Some(TIMEOUT)).expect("the socket takes a timeout");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("the timeout is valid");
         stream
     }
 
@@ -398,9 +400,9 @@
     }
 
     pub(crate) fn wait(&self, done: impl Fn() -> bool) {
-        let begun = Instant::now();
+        let started = Instant::now();
         while !done() {
-            assert!(begun.elapsed() < TIMEOUT, "condition not met in time");
+            assert!(started.elapsed() < TIMEOUT, "condition not met in time");
             thread::sleep(Duration::from_millis(2));
         }
     }
@@ -455,7 +457,7 @@
     ];
     documents.extend(ROUTES.map(document));
     let delta = Delta { revision: 1, full: true, documents, ..Delta::default() };
-    Arc::new(build(&Set::default().with(delta)).expect("the routes are good"))
+    Arc::new(build(&Set::default().with(delta)).expect("the routes are valid"))
 }
 
 fn read_head(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<String> {
--- a/crates/traffic/tests/node_faults.rs
+++ b/crates/traffic/tests/node_faults.rs
@@ -21,13 +21,13 @@
     Silent,
     NoOutcome,
     OtherId,
-    CutShort,
+    Truncated,
     NotRun,
-    Nonsense,
+    Malformed,
 }
 
 /// Starts a fake serving node with `fault`; it runs no calls.
-fn broken_node(fault: Fault) -> SocketAddr {
+fn faulty_node(fault: Fault) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
     let address = listener.local_addr().expect("the listener has an address");
     thread::spawn(move || {
@@ -54,9 +54,9 @@
         }
         Fault::NoOutcome => format!("HTTP/1.1 200 OK\r\nbaobab-id: {id}\r\ncontent-length: 2\r\n\r\nok"),
         Fault::OtherId => "HTTP/1.1 200 OK\r\nbaobab-id: 0\r\nbaobab-outcome: answered\r\ncontent-length: 2\r\n\r\nok".to_owned(),
-        Fault::CutShort => format!("HTTP/1.1 200 OK\r\nbaobab-id: {id}\r\nbaobab-outcome: answered\r\ncontent-length: 9\r\n\r\nok"),
+        Fault::Truncated => format!("HTTP/1.1 200 OK\r\nbaobab-id: {id}\r\nbaobab-outcome: answered\r\ncontent-length: 9\r\n\r\nok"),
         Fault::NotRun => format!("HTTP/1.1 503 No\r\nbaobab-id: {id}\r\nbaobab-outcome: not-run\r\nbaobab-cause: leaving\r\ncontent-length: 0\r\n\r\n"),
-        Fault::Nonsense => "BREAKFAST 12\r\n\r\n".to_owned(),
+        Fault::Malformed => "BREAKFAST 12\r\n\r\n".to_owned(),
     };
     // The entry node may have closed the connection.
     let _ = stream.write_all(answer.as_bytes());
@@ -65,7 +65,7 @@
 /// Posts one call through a faulty serving node; returns the outcome that the caller receives.
 fn outcome_with(fault: Fault) -> String {
     let rig = Rig::new(vec![], PROFILE);
-    rig.set_view(&[record(0, broken_node(fault), State::Live)]);
+    rig.set_view(&[record(0, faulty_node(fault), State::Live)]);
     rig.call(&Call::post("/paydesk/payments", "pay")).outcome().to_owned()
 }
 
@@ -81,8 +81,8 @@
     check(Fault::Silent, "unknown");
     check(Fault::NoOutcome, "unknown");
     check(Fault::OtherId, "unknown");
-    check(Fault::CutShort, "unknown");
-    check(Fault::Nonsense, "unknown");
+    check(Fault::Truncated, "unknown");
+    check(Fault::Malformed, "unknown");
     check(Fault::NotRun, "not-run");
 }
 
@@ -96,11 +96,12 @@
 
 #[test]
 fn an_idempotent_call_is_retried_at_another_node() {
-    for fault in [Fault::CloseAtOnce, Fault::Silent, Fault::OtherId, Fault::CutShort, Fault::NotRun]
+    for fault in
+        [Fault::CloseAtOnce, Fault::Silent, Fault::OtherId, Fault::Truncated, Fault::NotRun]
     {
         let rig = Rig::new(vec![Settings::default()], PROFILE);
-        let good = record(0, rig.nodes[0].traffic, State::Live);
-        rig.set_view(&[good, record(1, broken_node(fault), State::Live)]);
+        let healthy = record(0, rig.nodes[0].traffic, State::Live);
+        rig.set_view(&[healthy, record(1, faulty_node(fault), State::Live)]);
         for _ in 0..6 {
             assert_eq!(rig.call(&Call::get("/paydesk/balance")).outcome(), "answered", "{fault:?}");
         }
--- a/crates/traffic/tests/pipelining.rs
+++ b/crates/traffic/tests/pipelining.rs
@@ -30,7 +30,7 @@
     while text.matches("\r\n\r\nbody").count() < count {
         let read = stream.read(&mut chunk).expect("the node answers in time");
         assert!(read > 0, "the connection ended: {text}");
-        text += std::str::from_utf8(&chunk[..read]).expect("answers are text");
+        text += std::str::from_utf8(&chunk[..read]).expect("answers are UTF-8");
     }
     let lines = text.lines().filter_map(|line| line.strip_prefix("x-id: "));
     lines.map(str::to_owned).collect()
@@ -69,14 +69,14 @@
 /// Guards against running a payment early: the caller sends it again if an answer before it closes
 /// the connection.
 #[test]
-fn a_non_idempotent_call_waits_for_its_turn() {
+fn a_non_idempotent_call_waits_for_the_answers_before_it() {
     let cluster = Cluster::new(1, 4);
     cluster.upstreams[0].set(Behaviour::Slowly(Duration::from_millis(300)));
     let mut stream = cluster.connect(0);
     stream.write_all((get("r1") + &post("r2") + &get("r3")).as_bytes()).expect("the node reads");
     cluster.wait(|| !cluster.received().is_empty());
     thread::sleep(Duration::from_millis(100));
-    assert_eq!(cluster.received().len(), 1, "only the first may run");
+    assert_eq!(cluster.received().len(), 1, "only the first call has run");
     assert_eq!(ids(&mut stream, 3), ["r1", "r2", "r3"]);
     let order: Vec<String> =
         cluster.received().iter().filter_map(|s| s.header("x-id").map(str::to_owned)).collect();
--- a/crates/traffic/tests/quarantine.rs
+++ b/crates/traffic/tests/quarantine.rs
@@ -7,7 +7,7 @@
 use model::{request::Fingerprint, time::Time};
 use std::{cell::RefCell, io::Write, sync::Arc, thread, time::Duration};
 
-/// Time in which a node surely detects a crash of its upstream.
+/// Time limit for a node to detect a crash of its upstream.
 const DETECTION_TIME: Duration = Duration::from_millis(500);
 
 /// Time for which requests are quarantined, in s; longer than any test takes.
@@ -60,7 +60,7 @@
     assert_eq!(header(&answer, "baobab-cause"), Some("quarantined"));
     let after: f64 = header(&answer, "retry-after").and_then(|t| t.parse().ok()).unwrap_or(0.0);
     assert!(after > QUARANTINE_S as f64 / 2.0, "to come back after {after} s");
-    assert_eq!(cluster.received().len(), before, "it has not run");
+    assert_eq!(cluster.received().len(), before, "the request has not run");
 }
 
 /// Quarantines `first` after it crashed the upstream; checks whether `second` counts as the same.
@@ -122,11 +122,11 @@
 fn the_next_call_detects_a_crash_without_pending_calls() {
     let cluster = Cluster::new(1, 4);
     cluster.upstreams[0].set(Behaviour::Silent);
-    let mut left = cluster.connect(0);
+    let mut caller = cluster.connect(0);
     let read = request("GET", "/read/left", "", "");
-    left.write_all(read.as_bytes()).expect("the node reads");
+    caller.write_all(read.as_bytes()).expect("the node reads");
     cluster.wait(|| cluster.received().len() == 1);
-    drop(left);
+    drop(caller);
     cluster.wait(|| cluster.proxies[0].calls_in_flight() == 0);
     cluster.upstreams[0].crash();
     assert_eq!(status(&cluster.exchange(0, &request("GET", "/read/next", "", ""))), "503");
@@ -229,7 +229,7 @@
     let mut copies: Vec<_> = (0..2).map(|_| cluster.connect(0)).collect();
     copies.iter_mut().for_each(|c| c.write_all(read.as_bytes()).expect("the node reads"));
     cluster.wait(|| cluster.received().len() == 2);
-    cluster.upstreams[0].crash_but_one();
+    cluster.upstreams[0].crash_except_last_connection();
     let first = wait_for_crash(&cluster, 0);
     cluster.upstreams[0].crash();
     assert_eq!(wait_for_crash(&cluster, 0), first);
--- a/crates/traffic/tests/restarts.rs
+++ b/crates/traffic/tests/restarts.rs
@@ -27,17 +27,17 @@
     assert_eq!(status(&cluster.exchange(0, &request("POST", "/post/a", "", "{}"))), "200");
 }
 
-/// Guards against keeping a restarted upstream status_reason for failures before its restart.
+/// Guards against keeping a restarted upstream ejected for failures before its restart.
 #[test]
 fn failures_of_a_previous_incarnation_are_forgotten() {
     let cluster = Cluster::new(1, 4);
     cluster.show_incarnation(0, 0, 100);
-    cluster.upstreams[0].set(Behaviour::Crossed);
+    cluster.upstreams[0].set(Behaviour::WrongId);
     for _ in 0..4 {
         cluster.exchange(0, &request("POST", "/post/a", "", "{}"));
     }
-    let status_reason = |cluster: &Cluster| cluster.proxies[0].explain("paydesk")[0].reason.clone();
-    assert!(status_reason(&cluster).contains("not chosen"), "{}", status_reason(&cluster));
+    let reason = |cluster: &Cluster| cluster.proxies[0].explain("paydesk")[0].reason.clone();
+    assert!(reason(&cluster).contains("not chosen"), "{}", reason(&cluster));
     cluster.show_incarnation(0, 0, 200);
-    assert!(!status_reason(&cluster).contains("not chosen"), "{}", status_reason(&cluster));
+    assert!(!reason(&cluster).contains("not chosen"), "{}", reason(&cluster));
 }
--- a/crates/traffic/tests/rig/mod.rs
+++ b/crates/traffic/tests/rig/mod.rs
@@ -66,8 +66,8 @@
             .enumerate()
             .map(|(i, (slots, upstream))| start(&runtime, i, upstream.address(), *slots))
             .collect();
-        let nowhere = SocketAddr::from(([127, 0, 0, 1], 1));
-        let entry = start(&runtime, 99, nowhere, 1);
+        let no_upstream = SocketAddr::from(([127, 0, 0, 1], 1));
+        let entry = start(&runtime, 99, no_upstream, 1);
         let rig = Rig {
             entry,
             nodes,
@@ -99,7 +99,7 @@
             document("services/paydesk", r#"{"profile": "p"}"#),
         ];
         let delta = Delta { revision: 1, full: true, documents, ..Delta::default() };
-        let snapshot = Arc::new(build(&Set::default().with(delta)).expect("the profile is good"));
+        let snapshot = Arc::new(build(&Set::default().with(delta)).expect("the profile is valid"));
         for proxy in self.proxies() {
             proxy.set_config(snapshot.clone());
         }
@@ -129,9 +129,9 @@
 
     /// Waits until `done` returns `true`.
     pub(crate) fn wait(&self, done: impl Fn() -> bool) {
-        let begun = Instant::now();
+        let started = Instant::now();
         while !done() {
-            assert!(begun.elapsed() < TIMEOUT, "condition not met in time");
+            assert!(started.elapsed() < TIMEOUT, "condition not met in time");
             thread::sleep(Duration::from_millis(2));
         }
     }
--- a/crates/traffic/tests/routed.rs
+++ b/crates/traffic/tests/routed.rs
@@ -19,8 +19,8 @@
     check(&cluster, &request("GET", "/read/none/a", "", ""), "503");
     check(&cluster, &request("GET", "/reading/a", "", ""), "404");
     check(&cluster, &request("GET", "/paydesk/a", "", ""), "404");
-    let elsewhere = request("GET", "/read/a", "", "").replace("shop.example", "other.example");
-    check(&cluster, &elsewhere, "404");
+    let other_host = request("GET", "/read/a", "", "").replace("shop.example", "other.example");
+    check(&cluster, &other_host, "404");
     let with_port = request("GET", "/read/a", "", "").replace("shop.example", "Shop.Example:80");
     check(&cluster, &with_port, "200");
     assert!(cluster.received()[0].head.starts_with("GET /read/a?b=1 HTTP/1.1"));
@@ -79,7 +79,7 @@
 /// Guards against giving up on a payment after a refusal that proves that it has not run.
 #[test]
 fn a_call_provably_not_run_is_retried_at_another_upstream() {
-    for refusal in [Behaviour::Refuse, Behaviour::Other] {
+    for refusal in [Behaviour::Refuse, Behaviour::WrongInstance] {
         let cluster = Cluster::new(2, 4);
         cluster.upstreams[0].set(refusal);
         for _ in 0..5 {
@@ -95,7 +95,7 @@
 /// Guards against a caller that repeats a payment after a 503 that does not prove "not run".
 #[test]
 fn answers_without_proof_have_an_unknown_outcome() {
-    for behaviour in [Behaviour::Unmarked, Behaviour::Unstamped, Behaviour::Crossed] {
+    for behaviour in [Behaviour::Unmarked, Behaviour::Unstamped, Behaviour::WrongId] {
         let cluster = Cluster::new(2, 4);
         cluster.upstreams.iter().for_each(|upstream| upstream.set(behaviour));
         check(&cluster, &request("POST", "/post/a", "", "{}"), "502");
@@ -208,10 +208,10 @@
 fn a_refusal_closes_its_connection() {
     let cluster = Cluster::new(1, 1);
     cluster.upstreams[0].set(Behaviour::Slowly(Duration::from_millis(700)));
-    let holding = request("GET", "/read/long/a", "", "");
+    let slow_request = request("GET", "/read/long/a", "", "");
     let refused = request("GET", "/read/a", "", "").replace("connection: close\r\n", "");
     thread::scope(|scope| {
-        scope.spawn(|| cluster.exchange(0, &holding));
+        scope.spawn(|| cluster.exchange(0, &slow_request));
         cluster.wait(|| !cluster.received().is_empty());
         // The exchange returns only when the node closes the connection.
         let answer = check(&cluster, &refused, "503");
@@ -235,6 +235,6 @@
     let large = format!("x-large: {}\r\n", "x".repeat(20_000));
     check(&cluster, &request("GET", "/read/a", &large, ""), "431");
     assert!(cluster.received().is_empty());
-    let fitting = format!("x-large: {}\r\n", "x".repeat(10_000));
-    check(&cluster, &request("GET", "/read/a", &fitting, ""), "200");
+    let within_limit = format!("x-large: {}\r\n", "x".repeat(10_000));
+    check(&cluster, &request("GET", "/read/a", &within_limit, ""), "200");
 }
--- a/crates/traffic/tests/silent_connections.rs
+++ b/crates/traffic/tests/silent_connections.rs
@@ -34,14 +34,15 @@
         let generation = Arc::new(AtomicUsize::new(0));
         let current = generation.clone();
         thread::spawn(move || {
-            for near in listener.incoming().flatten() {
-                let Ok(far) = TcpStream::connect(target) else { continue };
-                let born = current.load(Ordering::SeqCst);
-                let ends = [(near.try_clone(), far.try_clone()), (Ok(far), Ok(near))];
-                for (from, to) in ends {
+            for inbound in listener.incoming().flatten() {
+                let Ok(outbound) = TcpStream::connect(target) else { continue };
+                let opened_in = current.load(Ordering::SeqCst);
+                let directions =
+                    [(inbound.try_clone(), outbound.try_clone()), (Ok(outbound), Ok(inbound))];
+                for (from, to) in directions {
                     let current = current.clone();
                     let (Ok(from), Ok(to)) = (from, to) else { continue };
-                    thread::spawn(move || relay(from, to, &current, born));
+                    thread::spawn(move || relay(from, to, &current, opened_in));
                 }
             }
         });
@@ -53,11 +54,11 @@
     }
 }
 
-fn relay(mut from: TcpStream, mut to: TcpStream, current: &AtomicUsize, born: usize) {
+fn relay(mut from: TcpStream, mut to: TcpStream, current: &AtomicUsize, opened_in: usize) {
     let mut buffer = [0; 4_096];
     while let Ok(count @ 1..) = from.read(&mut buffer) {
-        let forgotten = current.load(Ordering::SeqCst) != born;
-        if !forgotten && to.write_all(&buffer[..count]).is_err() {
+        let is_dropped = current.load(Ordering::SeqCst) != opened_in;
+        if !is_dropped && to.write_all(&buffer[..count]).is_err() {
             return;
         }
     }
@@ -77,7 +78,7 @@
         })
         .collect();
     for call in warm {
-        let answer = rig.runtime.block_on(call).expect("the task ends").expect("an answer comes");
+        let answer = rig.runtime.block_on(call).expect("the task ends").expect("the node answers");
         assert_eq!(answer.outcome(), "answered");
     }
     middlebox.drop_state();
@@ -87,7 +88,7 @@
 /// Guards against a non-idempotent call with an unknown outcome because it reused an old connection.
 #[test]
 fn a_non_idempotent_call_does_not_reuse_an_old_connection() {
-    let (rig, _device) = rig_behind_middlebox();
+    let (rig, _middlebox) = rig_behind_middlebox();
     thread::sleep(Duration::from_millis(3_100));
     let answer = rig.call(&Call::post("/paydesk/pay", "early"));
     assert_eq!((answer.outcome(), rig.runs("early")), ("answered", 1));
@@ -96,14 +97,14 @@
 /// Guards against an idempotent call that fails on a recent dead connection to the only upstream.
 #[test]
 fn an_idempotent_call_on_a_dead_connection_is_retried_on_a_new_one() {
-    let (rig, _device) = rig_behind_middlebox();
+    let (rig, _middlebox) = rig_behind_middlebox();
     assert_eq!(rig.call(&Call::get("/paydesk/balance")).outcome(), "answered");
 }
 
 /// Guards against a wrong outcome on a recent dead connection, and against reuse of the others.
 #[test]
 fn a_non_idempotent_call_on_a_recent_dead_connection_is_unknown() {
-    let (rig, _device) = rig_behind_middlebox();
+    let (rig, _middlebox) = rig_behind_middlebox();
     let answer = rig.call(&Call::post("/paydesk/pay", "lost"));
     assert_eq!((answer.outcome(), rig.runs("lost")), ("unknown", 0));
     let answer = rig.call(&Call::post("/paydesk/pay", "next"));
--- a/crates/traffic/tests/stateful_fuzz.rs
+++ b/crates/traffic/tests/stateful_fuzz.rs
@@ -99,8 +99,8 @@
     for call in calls {
         let (work, answer) = rig.runtime.block_on(call).expect("the task ends");
         let outcome = answer.map_or("none".to_owned(), |a| {
-            let is_own = a.outcome() != "answered" || a.header("x-work") == work;
-            if is_own { a.outcome().to_owned() } else { "another's answer".to_owned() }
+            let is_own_answer = a.outcome() != "answered" || a.header("x-work") == work;
+            if is_own_answer { a.outcome().to_owned() } else { "another's answer".to_owned() }
         });
         if let Some(entry) = payments.iter_mut().find(|(w, _)| *w == work) {
             entry.1 = outcome;
@@ -122,13 +122,13 @@
         }
         for (work, outcome) in payments {
             let runs = rig.runs(&work);
-            let holds = match outcome.as_str() {
+            let is_consistent = match outcome.as_str() {
                 "answered" => runs == 1,
                 "not-run" => runs == 0,
                 "unknown" => runs <= 1,
                 _ => false,
             };
-            if !holds {
+            if !is_consistent {
                 return TestResult::error(format!(
                     "{work} was told {outcome} and ran {runs} times"
                 ));
