--- a/crates/fleet/src/dissemination.rs
+++ b/crates/fleet/src/dissemination.rs
@@ -30,8 +30,8 @@
 
 /// Announces to random nodes, mostly of the local data centre, and to the next nodes in a ring.
 ///
-/// Every node does so when it first learns of a version, so that the failure of one node cuts off none.
-/// The ring reaches the few nodes that random announcements miss.
+/// Every node does so when it first learns of a version, so that others learn of it even if one node
+/// fails. The ring reaches the few nodes that random announcements miss.
 #[derive(Clone, Copy, Debug)]
 pub struct Epidemic {
     /// Random targets in the local data centre at weight 0.
--- a/crates/fleet/src/listed/rumours.rs
+++ b/crates/fleet/src/listed/rumours.rs
@@ -1,8 +1,8 @@
 //! Rumour mongering: forwards status changes of nodes (leaving, new incarnation) beyond a full mesh.
 //!
 //! A leaving node may stop right after one digest, which not every node receives. A rumour takes
-//! effect, and is forwarded, only after two nodes have reported it, so that one faulty node cannot take
-//! others out.
+//! effect, and is forwarded, only after two nodes have reported it, so that one faulty node cannot mark
+//! others as leaving.
 
 use std::collections::VecDeque;
 
--- a/crates/fleet/src/message.rs
+++ b/crates/fleet/src/message.rs
@@ -61,7 +61,7 @@
     /// `have`.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub buckets: Vec<u64>,
-    /// Size of the reply, in bytes of documents; none for no limit.
+    /// Maximum size of the documents in the reply, in bytes; none for no limit.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub limit: Option<usize>,
 }
--- a/crates/fleet/src/quarantine.rs
+++ b/crates/fleet/src/quarantine.rs
@@ -42,7 +42,7 @@
 /// Digests in which a node sends a changed report.
 const TRANSMISSIONS: u32 = 6;
 
-/// The same for a request with one crash, which is rarely its cause.
+/// Digests in which a node sends a changed report of a request with one crash, which is rarely its cause.
 const FIRST_CRASH_TRANSMISSIONS: u32 = 2;
 
 /// Identifier of one crash of an upstream process, chosen at random by its node.
@@ -212,8 +212,8 @@
 
     /// Returns the reports for a node that has just started, in batches of one digest each.
     pub fn joiner_reports(&mut self, now: Time) -> Vec<Vec<Report>> {
-        let held = self.current.until.keys().copied().take(MAX_JOINER_REPORTS);
-        let requests: Vec<Fingerprint> = held.collect();
+        let quarantined = self.current.until.keys().copied().take(MAX_JOINER_REPORTS);
+        let requests: Vec<Fingerprint> = quarantined.collect();
         self.report_batches(&requests, now)
     }
 
@@ -225,8 +225,9 @@
             return None;
         }
         self.cases.retain(|_, case| !case.is_over(now));
-        let held = self.causes().into_iter().map(|request| (request, self.cases[&request].until()));
-        let until = held.filter(|(_, until)| now < *until).collect();
+        let quarantined =
+            self.causes().into_iter().map(|request| (request, self.cases[&request].until()));
+        let until = quarantined.filter(|(_, until)| now < *until).collect();
         let suspects = self.cases.iter().filter(|(_, case)| !case.crashes.is_empty());
         let suspects = suspects.map(|(request, _)| *request).collect();
         let current = Arc::new(Quarantine { until, suspects });
@@ -236,7 +237,7 @@
 
     /// Returns the requests that entered or left quarantine since `before`.
     fn changes(&self, before: &Quarantine) -> Vec<Change> {
-        let held = |(&request, &until): (&Fingerprint, &Time)| {
+        let quarantined = |(&request, &until): (&Fingerprint, &Time)| {
             let is_new = !before.until.contains_key(&request);
             let crashes = self.crashes_of(request);
             is_new.then_some(Change::Quarantined { request, crashes, until })
@@ -245,8 +246,8 @@
             let is_over = !self.current.until.contains_key(&request);
             is_over.then_some(Change::Released { request })
         };
-        let held = self.current.until.iter().filter_map(held);
-        held.chain(before.until.keys().filter_map(released)).collect()
+        let quarantined = self.current.until.iter().filter_map(quarantined);
+        quarantined.chain(before.until.keys().filter_map(released)).collect()
     }
 
     /// Returns the requests that count as the cause of crashes.
@@ -278,12 +279,12 @@
 
     /// Returns the quarantined requests as shown to operators.
     pub fn status(&self, now: Time) -> Vec<status::Quarantined> {
-        let held = |(request, until): (&Fingerprint, &Time)| status::Quarantined {
+        let quarantined = |(request, until): (&Fingerprint, &Time)| status::Quarantined {
             request: request.to_string(),
             ends: self.crashes_of(*request),
             seconds: until.since(now).as_secs(),
         };
-        self.current.until.iter().map(held).collect()
+        self.current.until.iter().map(quarantined).collect()
     }
 
     fn crashes_of(&self, request: Fingerprint) -> usize {
@@ -294,11 +295,11 @@
         &mut self,
         request: Fingerprint,
         now: Time,
-        f: impl FnOnce(&mut Case) -> bool,
+        update: impl FnOnce(&mut Case) -> bool,
     ) -> bool {
         let known = self.cases.get(&request).filter(|case| !case.is_over(now));
         let mut case = known.cloned().unwrap_or_default();
-        if !f(&mut case) || case.is_over(now) {
+        if !update(&mut case) || case.is_over(now) {
             return false;
         }
         case.transmissions =
@@ -324,9 +325,9 @@
 
     /// Returns the next quarantined request in rotation.
     fn next_quarantined(&mut self) -> Option<Fingerprint> {
-        let held = || self.current.until.keys().copied();
-        let behind = held().filter(|request| Some(*request) > self.cursor).min();
-        self.cursor = behind.or_else(|| held().min());
+        let quarantined = || self.current.until.keys().copied();
+        let following = quarantined().filter(|request| Some(*request) > self.cursor).min();
+        self.cursor = following.or_else(|| quarantined().min());
         self.cursor
     }
 
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -126,7 +126,7 @@
             .context(ThreadSnafu)?;
         let listeners = traffic.block_on(bind(settings)).context(TrafficSnafu)?;
         let own = own_record(settings, incarnation);
-        let deps = control::Dependencies {
+        let dependencies = control::Dependencies {
             own,
             source,
             proxy: proxy.clone(),
@@ -134,7 +134,7 @@
             meter: meter.clone(),
             peers: peers.handle().clone(),
         };
-        let control = control::start(settings, deps).context(ThreadSnafu)?;
+        let control = control::start(settings, dependencies).context(ThreadSnafu)?;
         let handler = Arc::new(control.clone());
         let served = peers.block_on(peer::serve(settings.listen.peers, handler));
         let (_, handle) = served.context(PeersSnafu)?;
--- a/crates/telemetry/src/metric.rs
+++ b/crates/telemetry/src/metric.rs
@@ -265,7 +265,7 @@
         self.ejections.add(1, &[KeyValue::new("service", service.to_owned())]);
     }
 
-    /// Counts a crash of the local upstream's process.
+    /// Counts a crash of the colocated upstream's process.
     pub fn count_upstream_crash(&self) {
         self.ends.add(1, &[]);
     }
--- a/crates/traffic/src/routing/schedule.rs
+++ b/crates/traffic/src/routing/schedule.rs
@@ -21,7 +21,7 @@
     pub(crate) caller: Caller,
     /// Timing relative to the objective, if its route has one.
     pub(crate) timing: Option<urgency::Timing>,
-    /// Whether a caller or an upstream's nested call made it.
+    /// Whether it comes from a caller or is a nested call of an upstream.
     pub(crate) origin: urgency::Origin,
     pub(crate) rank: Rank,
 }
