--- a/xtask/src/bench/calls.rs
+++ b/xtask/src/bench/calls.rs
@@ -21,9 +21,16 @@
 use super::report::{Line, Report, Times};
 use crate::tools::{Failure, require};
 
+/// Upstreams of the called service.
 const UPSTREAMS: usize = 4;
+
+/// Concurrency limit of each upstream.
 const SLOTS: usize = 10;
-const WORK: Duration = Duration::from_millis(20);
+
+/// Service time of a request at an upstream.
+const SERVICE_TIME: Duration = Duration::from_millis(20);
+
+/// Duration of each load.
 const RUN_TIME: Duration = Duration::from_secs(4);
 const READY_LIMIT: Duration = Duration::from_secs(30);
 const PROFILE: &str = r#"{"deadline_ms": 1500}"#;
@@ -67,12 +74,12 @@
 pub(crate) fn run(programs: &Path, report: &mut Report) -> Result<(), Failure> {
     let mesh = start(programs)?;
     for (name, callers) in LOADS {
-        latency(&mesh, name, callers, report);
+        measure_latency(&mesh, name, callers, report);
     }
     drop(mesh);
     for (name, fault) in FAULTS {
         let mut mesh = start(programs)?;
-        recovery(&mut mesh, name, fault, report)?;
+        measure_recovery(&mut mesh, name, fault, report)?;
     }
     Ok(())
 }
@@ -84,7 +91,7 @@
         daemon: programs.join("baobabrelayd"),
         instances,
         upstream: upstream::Settings {
-            service_time: WORK,
+            service_time: SERVICE_TIME,
             slots: SLOTS,
             ..upstream::Settings::default()
         },
@@ -101,25 +108,25 @@
         .wait_in_force(revision, READY_LIMIT)
         .and_then(|_| mesh.wait_upstreams("paydesk", UPSTREAMS, READY_LIMIT));
     require(ready, "the mesh did not become ready")?;
-    // Waits until the slow start of the upstreams is over.
+    // The slow start of the upstreams ends within this time.
     thread::sleep(Duration::from_secs(2));
     Ok(mesh)
 }
 
-fn latency(mesh: &Mesh, load: &str, callers: usize, report: &mut Report) {
-    // At light load the upstreams answer at once: the timers of the stand-ins are accurate only to
-    // 1 ms, which would hide the latency that the nodes add.
-    let work = if load == LIGHT { Duration::ZERO } else { WORK };
-    mesh.instances.iter().for_each(|instance| instance.upstream.set_service_time(work));
+fn measure_latency(mesh: &Mesh, load: &str, callers: usize, report: &mut Report) {
+    // At light load the upstreams answer without a delay, since the stand-ins' timers have a resolution
+    // of 1 ms, which would hide the latency that the nodes add.
+    let service_time = if load == LIGHT { Duration::ZERO } else { SERVICE_TIME };
+    mesh.instances.iter().for_each(|instance| instance.upstream.set_service_time(service_time));
     let upstreams: Vec<SocketAddr> =
-        mesh.instances[1..].iter().map(|s| s.upstream.address()).collect();
-    let direct = drive(mesh, callers, "/balance", move |i| upstreams[i % UPSTREAMS]);
+        mesh.instances[1..].iter().map(|instance| instance.upstream.address()).collect();
+    let direct = run_callers(mesh, callers, "/balance", move |i| upstreams[i % UPSTREAMS]);
     let entry = mesh.instances[0].traffic;
     let before = processor_times(mesh);
-    let proxied = drive(mesh, callers, "/paydesk/balance", move |_| entry);
+    let proxied = run_callers(mesh, callers, "/paydesk/balance", move |_| entry);
     let after = processor_times(mesh);
     let (baseline, times) = (latencies(&direct), latencies(&proxied));
-    let answered = proxied.iter().filter(|m| m.answered).count();
+    let answered = proxied.iter().filter(|sample| sample.answered).count();
     report.add(
         Line::new("added_latency_ms", mesh.instances.len())
             .word("load", load)
@@ -131,7 +138,7 @@
             .figure("calls_per_s", answered as f64 / RUN_TIME.as_secs_f64())
             .figure("not_answered_percent", 100.0 * (1.0 - answered as f64 / proxied.len() as f64)),
     );
-    let used: Vec<f64> = after.iter().zip(&before).map(|(b, a)| b - a).collect();
+    let used: Vec<f64> = after.iter().zip(&before).map(|(after, before)| after - before).collect();
     let per_call = |seconds: f64| 1e6 * seconds / proxied.len() as f64;
     report.add(
         Line::new("processor_us_per_call", mesh.instances.len())
@@ -155,7 +162,7 @@
 }
 
 /// Runs `callers` parallel callers for [`RUN_TIME`]; each makes one call at a time.
-fn drive(
+fn run_callers(
     mesh: &Mesh,
     callers: usize,
     path: &str,
@@ -186,14 +193,19 @@
         let answered = answer.as_ref().is_ok_and(|a| a.status == 200);
         samples.push(Sample { started, elapsed, answered });
         if !answered {
-            // Backs off before the next call.
+            // Prevents a busy loop of refused calls.
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
     samples
 }
 
-fn recovery(mesh: &mut Mesh, name: &str, fault: Fault, report: &mut Report) -> Result<(), Failure> {
+fn measure_recovery(
+    mesh: &mut Mesh,
+    name: &str,
+    fault: Fault,
+    report: &mut Report,
+) -> Result<(), Failure> {
     let running = Arc::new(AtomicBool::new(true));
     let entry = mesh.instances[0].traffic;
     let spawn = |call: Call| {
@@ -210,11 +222,15 @@
     let reads: Vec<Sample> = join(mesh, reads);
     let posts: Vec<Sample> = join(mesh, posts);
     for (kind, samples) in [("reads", &reads), ("posts", &posts)] {
-        let failed: Vec<&Sample> = samples.iter().filter(|m| !m.answered).collect();
-        let last_failed_start = failed.iter().map(|m| m.started.duration_since(started)).max();
-        let last_reported =
-            failed.iter().map(|m| (m.started + m.elapsed).duration_since(started)).max();
-        let after: Vec<Sample> = samples.iter().copied().filter(|m| m.started >= started).collect();
+        let failed: Vec<&Sample> = samples.iter().filter(|sample| !sample.answered).collect();
+        let last_failed_start =
+            failed.iter().map(|sample| sample.started.duration_since(started)).max();
+        let last_reported = failed
+            .iter()
+            .map(|sample| (sample.started + sample.elapsed).duration_since(started))
+            .max();
+        let after: Vec<Sample> =
+            samples.iter().copied().filter(|sample| sample.started >= started).collect();
         report.add(
             Line::new("recovery_ms", mesh.instances.len())
                 .word("fault", name)
@@ -238,13 +254,13 @@
         Fault::UpstreamKilled => upstream.kill(),
         Fault::UpstreamFrozen => upstream.set_mode(Mode::Frozen),
         Fault::UpstreamSilent => upstream.set_mode(Mode::Silent),
-        Fault::TenTimesSlower => upstream.set_service_time(WORK * 10),
+        Fault::TenTimesSlower => upstream.set_service_time(SERVICE_TIME * 10),
     }
     Ok(())
 }
 
 fn latencies(samples: &[Sample]) -> Times {
     let mut times = Times::default();
-    samples.iter().filter(|m| m.answered).for_each(|m| times.add(m.elapsed));
+    samples.iter().filter(|sample| sample.answered).for_each(|sample| times.add(sample.elapsed));
     times
 }
--- a/xtask/src/bench/chain.rs
+++ b/xtask/src/bench/chain.rs
@@ -21,14 +21,16 @@
 /// Upstreams of each service; a second one makes retries possible.
 const WIDTH: usize = 2;
 
+/// Calls of each measurement.
 const CALLS: u64 = 200;
+
 const READY_LIMIT: Duration = Duration::from_secs(30);
 const PROFILE: &str = r#"{"deadline_ms": 10000}"#;
 
 /// Measures a healthy chain, then one whose last service closes the connection of every call.
 pub(crate) fn run(programs: &Path, report: &mut Report) -> Result<(), Failure> {
     let mesh = start(programs)?;
-    let times = drive(&mesh, CALLS);
+    let times = make_calls(&mesh, CALLS);
     report.add(
         Line::new("chain_ms", mesh.instances.len())
             .count("depth", DEPTH as u64)
@@ -39,16 +41,16 @@
     for instance in &mesh.instances[(DEPTH - 1) * WIDTH..] {
         instance.upstream.set_mode(Mode::CloseAfter);
     }
-    drive(&mesh, CALLS);
+    make_calls(&mesh, CALLS);
     let after = runs_per_level(&mesh);
-    let calls: Vec<u64> = after.iter().zip(&before).map(|(b, a)| b - a).collect();
-    let max_inner = calls[..DEPTH - 1].iter().copied().max().unwrap_or(0);
+    let runs: Vec<u64> = after.iter().zip(&before).map(|(after, before)| after - before).collect();
+    let max_inner = runs[..DEPTH - 1].iter().copied().max().unwrap_or(0);
     report.add(
         Line::new("chain_calls", mesh.instances.len())
             .count("depth", DEPTH as u64)
             .count("calls", CALLS)
             .count("most_at_inner_level", max_inner)
-            .count("at_failing_leaf", calls[DEPTH - 1]),
+            .count("at_failing_leaf", runs[DEPTH - 1]),
     );
     Ok(())
 }
@@ -77,7 +79,7 @@
     Ok(mesh)
 }
 
-fn drive(mesh: &Mesh, calls: u64) -> Times {
+fn make_calls(mesh: &Mesh, calls: u64) -> Times {
     let entry = mesh.instances[0].traffic;
     mesh.runtime().block_on(async {
         let mut times = Times::default();
--- a/xtask/src/bench/fleet.rs
+++ b/xtask/src/bench/fleet.rs
@@ -16,11 +16,18 @@
 use super::report::{Line, Report, Times};
 use crate::tools::{Failure, require};
 
+/// Published changes, one every [`CHANGE_INTERVAL`].
 const CHANGES: u64 = 25;
+
 const SERVICES: [&str; 5] = ["shelfview", "paydesk", "ledgerhub", "forecast", "groups"];
 const DATA_CENTRES: [&str; 2] = ["ktm-a", "lalitpur-b"];
+
+/// Time after the first version before the idle fleet is measured.
 const SETTLE_TIME: Duration = Duration::from_secs(8);
+
+/// Duration of the measurement of the idle fleet.
 const IDLE_TIME: Duration = Duration::from_secs(10);
+
 const CHANGE_INTERVAL: Duration = Duration::from_millis(250);
 const CONVERGENCE_LIMIT: Duration = Duration::from_secs(30);
 
@@ -55,19 +62,24 @@
 
 fn measure_idle(mesh: &Mesh, count: usize, report: &mut Report) -> Result<(), Failure> {
     let cpu_before = control_seconds(mesh);
-    let (bytes, reads, started) = (loopback_bytes()?, mesh.platform.reads(), Instant::now());
+    let (bytes_before, reads_before, started) =
+        (loopback_bytes()?, mesh.platform.reads(), Instant::now());
     thread::sleep(IDLE_TIME);
-    let span = started.elapsed().as_secs_f64();
-    let bytes_moved = loopback_bytes()? - bytes;
-    let new_reads = mesh.platform.reads() - reads;
-    let cpu = control_seconds(mesh).iter().zip(&cpu_before).map(|(b, a)| b - a).fold(0.0, f64::max);
+    let seconds = started.elapsed().as_secs_f64();
+    let bytes_moved = loopback_bytes()? - bytes_before;
+    let new_reads = mesh.platform.reads() - reads_before;
+    let cpu = control_seconds(mesh)
+        .iter()
+        .zip(&cpu_before)
+        .map(|(after, before)| after - before)
+        .fold(0.0, f64::max);
     report.add(
         Line::new("control_bytes_per_s", count)
-            .figure("value", per_node(bytes_moved, count) / span)
+            .figure("value", per_node(bytes_moved, count) / seconds)
             .word("counted", "loopback interface, sent and received, headers included"),
     );
-    report.add(Line::new("source_reads_per_s", count).figure("value", new_reads as f64 / span));
-    report.add(Line::new("control_cpu_percent", count).figure("value", 100.0 * cpu / span));
+    report.add(Line::new("source_reads_per_s", count).figure("value", new_reads as f64 / seconds));
+    report.add(Line::new("control_cpu_percent", count).figure("value", 100.0 * cpu / seconds));
     let memory =
         (0..mesh.instances.len()).filter_map(|i| memory_mb(mesh.pid(i)?)).fold(0.0, f64::max);
     report.add(Line::new("node_memory_mb", count).figure("value", memory));
@@ -76,7 +88,7 @@
 
 fn measure_changes(mesh: &Mesh, count: usize, report: &mut Report) -> Result<(), Failure> {
     let mut times = Times::default();
-    let (bytes, started) = (loopback_bytes()?, Instant::now());
+    let (bytes_before, started) = (loopback_bytes()?, Instant::now());
     let mut published = Vec::new();
     for change in 1..=CHANGES {
         let text = format!(r#"{{"deadline_ms": {}}}"#, 1_000 + change);
@@ -85,23 +97,27 @@
         thread::sleep(CHANGE_INTERVAL);
     }
     thread::sleep(Duration::from_secs(2));
-    let (bytes_moved, span) = (loopback_bytes()? - bytes, started.elapsed().as_secs_f64());
-    let arrivals: Vec<Vec<(u64, u64)>> =
-        (0..mesh.instances.len()).map(|i| arrivals(mesh, i)).collect();
+    let (bytes_moved, seconds) =
+        (loopback_bytes()? - bytes_before, started.elapsed().as_secs_f64());
+    let in_force: Vec<Vec<(u64, u64)>> =
+        (0..mesh.instances.len()).map(|i| versions_in_force(mesh, i)).collect();
     for (revision, at) in published {
         let in_force_at = |node: &Vec<(u64, u64)>| {
-            node.iter().find(|(held, _)| *held >= revision).map(|(_, when)| *when)
+            node.iter().find(|(current, _)| *current >= revision).map(|(_, at)| *at)
         };
-        let last: Option<Vec<u64>> = arrivals.iter().map(in_force_at).collect();
+        let last: Option<Vec<u64>> = in_force.iter().map(in_force_at).collect();
         let last = last.and_then(|all| all.into_iter().max());
-        let last = require(last, "a change did not come into force at every node")?;
+        let last = require(
+            last,
+            &format!("revision {revision} did not come into force at every node in time"),
+        )?;
         times.add(Duration::from_millis(last.saturating_sub(at)));
     }
     report.add(Line::new("convergence_ms", count).times(&times));
     report.add(
         Line::new("control_bytes_per_change", count)
             .figure("value", per_node(bytes_moved, count) / CHANGES as f64)
-            .figure("seconds", span)
+            .figure("seconds", seconds)
             .word("counted", "all bytes of the span divided by its changes, idle bytes included"),
     );
     Ok(())
@@ -128,8 +144,10 @@
         "the nodes did not return to the newest version after the restart",
     )?;
     let last = (0..mesh.instances.len())
-        .filter_map(|i| arrivals(mesh, i).into_iter().find(|(held, _)| *held >= newest))
-        .map(|(_, when)| when)
+        .filter_map(|i| {
+            versions_in_force(mesh, i).into_iter().find(|(revision, _)| *revision >= newest)
+        })
+        .map(|(_, at)| at)
         .max()
         .unwrap_or(begin_ms);
     report.add(
@@ -142,7 +160,7 @@
 }
 
 /// Returns the revisions that came into force at a node, each with its time in ms of Unix time.
-fn arrivals(mesh: &Mesh, node: usize) -> Vec<(u64, u64)> {
+fn versions_in_force(mesh: &Mesh, node: usize) -> Vec<(u64, u64)> {
     let page = mesh.page(node, "/timeline?scope=node").unwrap_or_default();
     let events: Vec<Event> = serde_json::from_str(&page).unwrap_or_default();
     events
--- a/xtask/src/bench/libraries.rs
+++ b/xtask/src/bench/libraries.rs
@@ -15,7 +15,10 @@
 use super::report::{Line, Report, Times};
 use crate::tools::Failure;
 
+/// Measured calls for each pair.
 const CALLS: usize = 3_000;
+
+/// Calls before the measured ones.
 const WARM_UP_CALLS: usize = 200;
 
 /// Measures sequential reads of one caller for each pair of client and server.
@@ -25,6 +28,7 @@
     let tiny = server.server_addr().to_ip().expect("the server listens at an IP address");
     thread::spawn(move || {
         for request in server.incoming_requests() {
+            // The caller may already have closed the connection.
             let _ = request.respond(Response::from_string("x".repeat(64)));
         }
     });
--- a/xtask/src/bench/memory.rs
+++ b/xtask/src/bench/memory.rs
@@ -1,7 +1,7 @@
 //! Benchmarks of dissemination strategies in the deterministic simulation.
 //!
-//! The nodes run the code of the fleet crate. Messages and bytes are counted; times are those of the
-//! virtual clock, at one millisecond per message.
+//! The nodes run the code of the fleet crate. Times are those of the virtual clock, with a delay of
+//! 1 ms per message.
 
 use fleet::dissemination::{Epidemic, Pull, Strategy, Tree};
 use standins::simulation::{Net, Options};
@@ -9,9 +9,15 @@
 
 use super::report::{Line, Report, Times};
 
+/// Published changes, each at least [`CHANGE_INTERVAL`] after the previous one.
 const CHANGES: u64 = 10;
+
+/// Time after the first version before the idle fleet is measured.
 const SETTLE_TIME: Duration = Duration::from_secs(60);
+
+/// Duration of the measurement of the idle fleet.
 const IDLE_TIME: Duration = Duration::from_secs(20);
+
 const CHANGE_INTERVAL: Duration = Duration::from_millis(1_500);
 const CONVERGENCE_LIMIT: Duration = Duration::from_secs(30);
 
@@ -70,13 +76,13 @@
         CHANGE_INTERVAL.as_secs_f64() * CHANGES as f64 + times.ms(50.0) / 1e3 * CHANGES as f64;
     let change_bytes =
         (2.0 * changing.bytes as f64 / nodes as f64 - idle_bytes * span) / CHANGES as f64;
-    let tag = |line: Line| line.word("ports", "memory").word("plan", name);
-    report.add(tag(Line::new("convergence_ms", nodes)).times(&times));
+    let label = |line: Line| line.word("ports", "memory").word("plan", name);
+    report.add(label(Line::new("convergence_ms", nodes)).times(&times));
     report.add(
-        tag(Line::new("control_bytes_per_s", nodes))
+        label(Line::new("control_bytes_per_s", nodes))
             .figure("value", idle_bytes)
             .figure("per_change", change_bytes.max(0.0)),
     );
     let reads = idle.reads as f64 / IDLE_TIME.as_secs_f64();
-    report.add(tag(Line::new("source_reads_per_s", nodes)).figure("value", reads));
+    report.add(label(Line::new("source_reads_per_s", nodes)).figure("value", reads));
 }
--- a/xtask/src/bench/overload.rs
+++ b/xtask/src/bench/overload.rs
@@ -21,10 +21,20 @@
 use super::report::{Line, Report, Times};
 
 const UPSTREAMS: usize = 4;
+
+/// Concurrency limit of each upstream.
 const SLOTS: usize = 10;
-const WORK: Duration = Duration::from_millis(10);
+
+/// Mean service time of a call at an upstream without a slowdown.
+const SERVICE_TIME: Duration = Duration::from_millis(10);
+
+/// Time limit of a call from its arrival.
 const DEADLINE: Duration = Duration::from_millis(200);
+
+/// Simulated time of each scenario.
 const RUN_TIME: Duration = Duration::from_secs(20);
+
+/// Limit of the calls queued at an upstream.
 const QUEUE_LENGTH: usize = 16;
 
 /// A combination of call policies.
@@ -33,7 +43,9 @@
     name: &'static str,
     round_robin: bool,
     max_queued: usize,
+    /// Whether the queue respects the deadlines of calls.
     deadline_aware: bool,
+    /// Retry budget, in per cent of the calls; unlimited if none.
     budget_percent: Option<u32>,
 }
 
@@ -52,15 +64,20 @@
 /// Conditions of one simulation.
 #[derive(Clone, Copy)]
 struct Scenario {
+    /// Rate of calls, in per cent of what all upstreams can serve.
     load_percent: u32,
+    /// Factor of the service time of the first upstream.
     slowdown: u32,
+    /// Whether every run fails.
     failing: bool,
 }
 
 /// Counts and times of one simulation.
 #[derive(Default)]
 struct Totals {
+    /// Calls answered within the deadline.
     answered: u64,
+    /// Attempts, the first ones included.
     offered: u64,
     calls: u64,
     times: Times,
@@ -68,15 +85,16 @@
 
 /// Compares the policies under overload, with one slow upstream, and with all upstreams failing.
 pub(crate) fn run(report: &mut Report) {
-    let best = simulate(PRODUCT, Scenario { load_percent: 95, slowdown: 1, failing: false })
-        .answered as f64;
+    let best_answered =
+        simulate(PRODUCT, Scenario { load_percent: 95, slowdown: 1, failing: false }).answered
+            as f64;
     for load_percent in [150, 300] {
         for policies in [PRODUCT, UNBOUNDED, NO_BUDGET] {
             let totals = simulate(policies, Scenario { load_percent, slowdown: 1, failing: false });
             report.add(
                 line("goodput_percent_of_best", policies)
                     .count("load", load_percent.into())
-                    .figure("value", 100.0 * totals.answered as f64 / best),
+                    .figure("value", 100.0 * totals.answered as f64 / best_answered),
             );
         }
     }
@@ -120,6 +138,7 @@
     scenario: Scenario,
     now: Time,
     events: BinaryHeap<Reverse<(Time, u64, Event)>>,
+    /// Last identifier given to a call or an event.
     last_id: u64,
     limiters: Vec<Limiter>,
     records: Vec<Record>,
@@ -161,10 +180,10 @@
 
 impl Simulation {
     fn accept_call(&mut self) {
-        let capacity = (UPSTREAMS * SLOTS) as f64 / WORK.as_secs_f64();
+        let capacity = (UPSTREAMS * SLOTS) as f64 / SERVICE_TIME.as_secs_f64();
         let rate = capacity * f64::from(self.scenario.load_percent) / 100.0;
-        let gap = -self.random.random_range(f64::EPSILON..1.0f64).ln() / rate;
-        self.schedule(Duration::from_secs_f64(gap), Event::Arrival);
+        let interval = -self.random.random_range(f64::EPSILON..1.0f64).ln() / rate;
+        self.schedule(Duration::from_secs_f64(interval), Event::Arrival);
         if let Some(percent) = self.policies.budget_percent {
             self.budget.earn(percent);
         }
@@ -185,14 +204,15 @@
             let (attempts, deadline) = (call.attempts, call.started + DEADLINE);
             self.totals.offered += 1;
             self.records[upstream].begin();
-            let limit = if self.policies.deadline_aware { deadline } else { deadline + RUN_TIME };
+            let wait_until =
+                if self.policies.deadline_aware { deadline } else { deadline + RUN_TIME };
             match self.limiters[upstream].admit(
                 Ticket(id),
                 self.now,
-                limit,
+                wait_until,
                 self.policies.max_queued,
             ) {
-                Decision::Run => return self.start_work(upstream, id),
+                Decision::Run => return self.start_run(upstream, id),
                 Decision::Wait(_) => return,
                 Decision::Refuse(after) => {
                     self.records[upstream].end(self.now, Sample::Refused);
@@ -204,16 +224,17 @@
         }
     }
 
-    fn start_work(&mut self, upstream: usize, call: u64) {
+    fn start_run(&mut self, upstream: usize, call: u64) {
         let slowdown = if upstream == 0 { self.scenario.slowdown } else { 1 };
-        let work = (WORK * slowdown).mul_f64(self.random.random_range(0.5..1.5));
-        self.schedule(work, Event::Completion { upstream, call });
+        let service_time = (SERVICE_TIME * slowdown).mul_f64(self.random.random_range(0.5..1.5));
+        self.schedule(service_time, Event::Completion { upstream, call });
     }
 
     fn complete(&mut self, upstream: usize, id: u64) {
-        if let Some(Ticket(next)) = self.limiters[upstream].finish(Ticket(id), self.now, Some(WORK))
+        if let Some(Ticket(next)) =
+            self.limiters[upstream].finish(Ticket(id), self.now, Some(SERVICE_TIME))
         {
-            self.start_work(upstream, next);
+            self.start_run(upstream, next);
         }
         let Some(call) = self.calls.get(&id).copied() else { return };
         let elapsed = self.now.since(call.started);
@@ -232,8 +253,8 @@
         }
     }
 
-    fn may_retry(&mut self, outcome: Outcome, made: u32) -> bool {
-        let attempt = Attempt { outcome, kind: Kind::Idempotent, made, limit: 3 };
+    fn may_retry(&mut self, outcome: Outcome, attempts: u32) -> bool {
+        let attempt = Attempt { outcome, kind: Kind::Idempotent, made: attempts, limit: 3 };
         if self.policies.budget_percent.is_none() {
             self.budget = Budget::default();
         }
--- a/xtask/src/bench/report.rs
+++ b/xtask/src/bench/report.rs
@@ -27,9 +27,9 @@
             .fields
             .iter()
             .skip(1)
-            .map(|(name, value)| format!("{name} {}", plain(value)))
+            .map(|(name, value)| format!("{name} {}", format_value(value)))
             .collect();
-        let measure = line.fields.get("measure").map(plain).unwrap_or_default();
+        let measure = line.fields.get("measure").map(format_value).unwrap_or_default();
         println!("{measure:<24} {}", text.join("  "));
         self.lines.push(Value::Object(line.fields));
     }
@@ -106,7 +106,7 @@
     }
 }
 
-fn plain(value: &Value) -> String {
+fn format_value(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
         other => other.to_string(),
--- a/xtask/src/ci.rs
+++ b/xtask/src/ci.rs
@@ -10,7 +10,7 @@
 /// File that lists the tests known to fail, one per line: test, cause, issue.
 const KNOWN_RED: &str = "KNOWN-RED.txt";
 
-/// Limit of the lines in that file.
+/// Limit of the lines in [`KNOWN_RED`].
 const MAX_KNOWN_RED: usize = 3;
 
 /// Runs the format check, the linter, the documentation build, the tests and a short soak.
@@ -44,11 +44,14 @@
     };
     let lines: Vec<&str> = text.lines().filter(|line| !line.trim().is_empty()).collect();
     if lines.len() > MAX_KNOWN_RED {
-        return Err(Failure::Task(format!("{KNOWN_RED} has more than {MAX_KNOWN_RED} lines")));
+        return Err(Failure::Task(format!(
+            "{KNOWN_RED} has {} lines; at most {MAX_KNOWN_RED} are allowed",
+            lines.len()
+        )));
     }
     for line in &lines {
         println!("skipping a test known to fail: {line}");
     }
-    let test = |line: &&str| line.split([':', ',']).next().unwrap_or("").trim().to_owned();
-    Ok(lines.iter().map(test).collect())
+    let test_name = |line: &&str| line.split([':', ',']).next().unwrap_or("").trim().to_owned();
+    Ok(lines.iter().map(test_name).collect())
 }
--- a/xtask/src/demo.rs
+++ b/xtask/src/demo.rs
@@ -21,11 +21,15 @@
 
 const DATA_CENTRES: [&str; 2] = ["ktm-a", "lalitpur-b"];
 const SERVICES: [&str; 2] = ["shelfview", "paydesk"];
+/// Upstreams of each service in each data centre.
 const UPSTREAMS: usize = 2;
+
 const READ_PROFILE: &str = r#"{"deadline_ms": 2000, "convergence_weight": 80}"#;
 const READ_PROFILE_UPDATED: &str = r#"{"deadline_ms": 1500, "convergence_weight": 80}"#;
 const WRITE_PROFILE: &str = r#"{"deadline_ms": 3000, "attempts": 2}"#;
 const INVALID_PROFILE: &str = r#"{"deadline_ms": "soon", "attemps": 2}"#;
+
+/// Time limit for a change to take effect at the nodes.
 const CONVERGENCE_LIMIT: Duration = Duration::from_secs(6);
 
 /// Steps checked so far, and the texts of those that failed.
@@ -172,20 +176,20 @@
 
 fn publish_invalid(mesh: &Mesh, programs: &Path, checklist: &mut Checklist) {
     let before = mesh.revision(0);
-    let bad = mesh.platform.publish(&[("profiles/reading", Some(INVALID_PROFILE))]);
-    let seen = mesh.wait(CONVERGENCE_LIMIT, |mesh| {
+    let invalid = mesh.platform.publish(&[("profiles/reading", Some(INVALID_PROFILE))]);
+    let reported = mesh.wait(CONVERGENCE_LIMIT, |mesh| {
         status(programs, mesh).contains("/attemps: is not a known field")
     });
     let unchanged = (0..mesh.instances.len()).all(|i| mesh.revision(i) == before);
     checklist.record_step(
-        (seen.is_some() && unchanged).into(),
+        (reported.is_some() && unchanged).into(),
         &format!(
-            "invalid revision {bad} rejected, revision {} stays in force",
+            "invalid revision {invalid} rejected, revision {} stays in force",
             before.unwrap_or(0)
         ),
     );
-    let good = mesh.platform.publish(&[("profiles/reading", Some(READ_PROFILE))]);
-    let converged = mesh.wait_in_force(good, CONVERGENCE_LIMIT);
+    let corrected = mesh.platform.publish(&[("profiles/reading", Some(READ_PROFILE))]);
+    let converged = mesh.wait_in_force(corrected, CONVERGENCE_LIMIT);
     checklist.record_step(
         converged.is_some().into(),
         &format!("corrected revision in force after {}", format_ms(converged)),
@@ -272,15 +276,16 @@
         &format!("{} goes silent: 40 reads: {:?}", silent.name, reads.counts),
     );
     let is_retry = |line: &str| line.contains(" retried ") && line.contains(&address);
-    let seen = mesh.wait(CONVERGENCE_LIMIT, |mesh| {
+    let reported = mesh.wait(CONVERGENCE_LIMIT, |mesh| {
         events(programs, mesh).is_ok_and(|text| text.lines().any(is_retry))
     });
     let text = events(programs, mesh)?;
-    let about_calls = |line: &&str| [" retried ", " ejected "].iter().any(|e| line.contains(e));
-    let lines = text.lines().filter(|line| line.contains(&address)).filter(about_calls);
+    let is_printed =
+        |line: &&str| [" retried ", " ejected "].iter().any(|kind| line.contains(kind));
+    let lines = text.lines().filter(|line| line.contains(&address)).filter(is_printed);
     lines.for_each(|line| println!("          {line}"));
     checklist.record_step(
-        seen.is_some().into(),
+        reported.is_some().into(),
         "the timeline names the silent upstream that the reads were retried after",
     );
     Ok(())
@@ -426,7 +431,10 @@
 }
 
 fn runs_of_work(mesh: &Mesh, work: &str) -> u32 {
-    mesh.instances.iter().filter_map(|s| s.upstream.ledger().runs_by_work.get(work).copied()).sum()
+    mesh.instances
+        .iter()
+        .filter_map(|instance| instance.upstream.ledger().runs_by_work.get(work).copied())
+        .sum()
 }
 
 fn all_ran_at_most_once(mesh: &Mesh) -> bool {
--- a/xtask/src/experiment.rs
+++ b/xtask/src/experiment.rs
@@ -18,7 +18,7 @@
     summary::{Estimate, Summary},
 };
 
-/// Default number of seeds of each comparison.
+/// Default number of seeds for each scene and strategy.
 const DEFAULT_SEEDS: u64 = 10;
 
 /// The node's own policies.
@@ -33,7 +33,7 @@
     ("in-turn", Strategy { choice: Choice::RoundRobin, discipline: Discipline::Fifo, ..PRODUCT }),
 ];
 
-/// Simulates every selected scene with every strategy.
+/// Simulates every selected scene with every selected strategy and prints the results.
 pub(crate) fn run(mut arguments: Arguments) -> Result<(), Failure> {
     let usage = |e: pico_args::Error| Failure::Usage(e.to_string());
     if arguments.contains("--list") {
@@ -49,14 +49,20 @@
     let plot_file: Option<PathBuf> = arguments.opt_value_from_str("--plot").map_err(usage)?;
     tools::finish(arguments)?;
     if seeds == 0 || nodes < 3 {
-        return Err(Failure::Usage("--seeds must be at least 1 and --nodes at least 3".to_owned()));
+        return Err(Failure::Usage(format!(
+            "--seeds {seeds} --nodes {nodes}: at least 1 seed and 3 nodes are needed"
+        )));
     }
     let scenes = scene::all(nodes);
     let selected: Vec<Scene> =
         scenes.into_iter().filter(|s| only.as_ref().is_none_or(|name| name == s.name)).collect();
     if selected.is_empty() {
         let names: Vec<&str> = scene::all(nodes).iter().map(|s| s.name).collect();
-        return Err(Failure::Usage(format!("unknown scene; valid scenes: {}", names.join(", "))));
+        return Err(Failure::Usage(format!(
+            "unknown scene {}; valid scenes: {}",
+            only.unwrap_or_default(),
+            names.join(", ")
+        )));
     }
     let strategies = without.map_or(Ok(STRATEGIES.to_vec()), |name| ablations(&name))?;
     let summaries = compare(&selected, &strategies, seeds);
@@ -70,7 +76,8 @@
     plot_file.map_or(Ok(()), |path| plot::draw(&path, &summaries))
 }
 
-/// Returns the default strategy, and it without mechanism `name`, or for `all` without each one.
+/// Returns the node's strategy and its variant without mechanism `name`, or, for `all`, one variant
+/// without each mechanism.
 fn ablations(name: &str) -> Result<Vec<(&'static str, Strategy)>, Failure> {
     let without = |mechanism| Strategy { without: Some(mechanism), ..PRODUCT };
     let selected = Mechanism::ALL.into_iter().filter(|(known, _)| name == "all" || *known == name);
@@ -85,8 +92,8 @@
 fn compare(scenes: &[Scene], strategies: &[(&'static str, Strategy)], seeds: u64) -> Vec<Summary> {
     let mut summaries = Vec::new();
     for scene in scenes {
-        for &(name, way) in strategies {
-            let settings = Settings { strategy: way, ..scene.settings.clone() };
+        for &(name, strategy) in strategies {
+            let settings = Settings { strategy, ..scene.settings.clone() };
             let reports: Vec<_> = (0..seeds).map(|seed| simulate(&settings, seed)).collect();
             summaries.push(Summary::of(scene.name, name, &reports));
         }
--- a/xtask/src/experiment/scene.rs
+++ b/xtask/src/experiment/scene.rs
@@ -11,16 +11,16 @@
     pub(super) settings: Settings,
 }
 
-/// Returns all scenes for a fleet of about `nodes`, with the model's default load per node.
+/// Returns all scenes for a fleet of about `nodes` nodes, with the model's default load per node.
 pub(super) fn all(nodes: usize) -> Vec<Scene> {
     let base = scale_to(nodes);
-    let third = base.services[0].upstreams.div_ceil(3);
+    let affected = base.services[0].upstreams.div_ceil(3);
     let seconds = Duration::from_secs;
     let fault = |degradation| Fault {
         begin: seconds(5),
         end: seconds(15),
         service: 0,
-        upstreams: third,
+        upstreams: affected,
         degradation,
     };
     let with_fault = |degradation| Settings { faults: vec![fault(degradation)], ..base.clone() };
@@ -36,10 +36,11 @@
     ]
 }
 
-/// Two of three upstreams of a service have left: the uploads of external callers compete with the nested
-/// checks of less urgent lookups for too few slots.
+/// Two of three upstreams of the second service have left; uploads by external callers compete for the
+/// remaining slots with nested checks, which belong to less urgent lookups.
 fn shortage(nodes: usize) -> Settings {
     let ms = Duration::from_millis;
+    // The numbers of upstreams and the rates below are for 12 nodes.
     let factor = nodes as f64 / 12.0;
     let service = |upstreams: f64, slowness: &[f64]| Service {
         upstreams: (upstreams * factor).ceil() as usize,
--- a/xtask/src/experiment/summary.rs
+++ b/xtask/src/experiment/summary.rs
@@ -15,14 +15,17 @@
 pub(super) struct Summary {
     pub(super) scene: &'static str,
     pub(super) strategy: &'static str,
-    /// Utility as a share of the maximum, which answers in time to all callers would yield.
+    /// Utility as a share of the maximum, which is reached if every caller gets an answer in time.
     pub(super) earned: Estimate,
     /// The lowest utility share of any route.
     pub(super) worst: Estimate,
-    /// Share of callers whose answer was late; the next three are also shares of all callers.
+    /// Share of callers whose answer was late.
     pub(super) late: Estimate,
+    /// Share of callers that were refused at their last attempt.
     pub(super) refused: Estimate,
+    /// Share of callers that were refused at their last attempt and at an earlier one.
     pub(super) refused_again: Estimate,
+    /// Share of callers without an answer, apart from those refused.
     pub(super) failed: Estimate,
     /// 99th percentile of the time to an answer, in ms.
     pub(super) p99_ms: Estimate,
@@ -54,7 +57,8 @@
 
     /// Returns one JSON line; a number that does not exist is `null`.
     pub(super) fn to_json(&self, nodes: usize, seeds: u64) -> Value {
-        let value = |f: Estimate| json!({ "mean": f.mean, "margin95": f.margin });
+        let value =
+            |estimate: Estimate| json!({ "mean": estimate.mean, "margin95": estimate.margin });
         json!({
             "measure": "experiment",
             "scene": self.scene,
@@ -85,11 +89,11 @@
 
 /// Returns the 97.5% quantile of Student's t-distribution; from 30 degrees of freedom on, that of the
 /// normal distribution.
-fn t_quantile(degrees: usize) -> f64 {
+fn t_quantile(degrees_of_freedom: usize) -> f64 {
     const TABLE: [f64; 10] =
         [12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228];
-    match degrees {
-        1..=10 => TABLE[degrees - 1],
+    match degrees_of_freedom {
+        1..=10 => TABLE[degrees_of_freedom - 1],
         11..=20 => 2.131,
         21..=29 => 2.064,
         _ => 1.960,
--- a/xtask/src/fuzz.rs
+++ b/xtask/src/fuzz.rs
@@ -17,20 +17,20 @@
     tools::finish(arguments)?;
     println!("seed {seed}, {steps} steps");
     let mut generator = Gen::from_size_and_seed(MAX_ACTIONS, seed);
-    let mut done = 0;
+    let mut actions_run = 0;
     let mut scripts = 0;
-    while done < steps {
+    while actions_run < steps {
         let actions = Vec::<Action>::arbitrary(&mut generator);
         let net_seed = u64::arbitrary(&mut generator);
         if let Err(reason) = script::run(&actions, net_seed) {
             let (actions, reason) = shrink(actions, net_seed, reason);
             println!("seed {seed}, script {scripts}, net seed {net_seed}: {reason}\n{actions:#?}");
-            return Err(Failure::Task("a script failed".to_owned()));
+            return Err(Failure::Task(format!("script {scripts} of seed {seed} failed")));
         }
-        done += actions.len() + 1;
+        actions_run += actions.len() + 1;
         scripts += 1;
     }
-    println!("{scripts} scripts with {done} actions passed");
+    println!("{scripts} scripts with {actions_run} actions passed");
     Ok(())
 }
 
--- a/xtask/src/soak.rs
+++ b/xtask/src/soak.rs
@@ -39,7 +39,7 @@
 /// Data centres; instances are spread evenly over them.
 const DATA_CENTRES: [&str; 3] = ["a", "b", "c"];
 
-/// Nodes per fault that is injected in one step.
+/// Each step injects one fault per this many nodes.
 const NODES_PER_FAULT: usize = 30;
 
 /// Time limit for all nodes to become ready and current after the last fault has ended.
@@ -74,17 +74,18 @@
     Valid,
     /// Also poison requests, which crash every upstream that runs them, after this delay.
     ///
-    /// Without an earlier answer, a valid call that runs at the same crashes is quarantined too.
+    /// A valid call that is in flight at the same crashes is quarantined too, unless it was answered
+    /// before.
     Poison(Duration),
 }
 
 /// Regression scenarios, which every `cargo xtask soak` runs first.
 ///
-/// - 104, 1002, 1033, 1110: the fourth growth exceeds the nodes' limit of documents; in 104 a node
-///   starts after it.
+/// - 104, 1002, 1033, 1110: the fourth `growth` fault exceeds the nodes' limit of documents; in 104 a
+///   node starts after it.
 /// - 1041, 1113: a stopping node that is delayed until its stop limit exits with calls in flight; in
 ///   1041 the seed does not determine the delay.
-/// - 4000: a read is refused that ran together with a poison request at two crashes and at the crash
+/// - 4000: a read is refused that was in flight with a poison request at two crashes, and at the crash
 ///   of a third upstream.
 const REGRESSIONS: [Scenario; 7] = [
     regression(104),
@@ -185,8 +186,8 @@
     let observations = Arc::new(Observations::default());
     let running = Arc::new(AtomicBool::new(true));
     let mut callers = load::start(&cluster, &observations, &running);
-    if let Requests::Poison(after) = scenario.requests {
-        callers.1.extend(poison::start(&cluster, after, scenario.seed, &running));
+    if let Requests::Poison(delay) = scenario.requests {
+        callers.1.extend(poison::start(&cluster, delay, scenario.seed, &running));
     }
     let mut injector = Injector::default();
     let mut orders =
@@ -226,7 +227,7 @@
     let counts = (observations.summary(), injector.summary());
     println!("seed {}: {}, {}, evacuation {evacuations}", scenario.seed, counts.0, counts.1);
     if !violations.is_empty() {
-        println!("logs kept in {}", cluster.keep_logs().display());
+        println!("seed {}: logs kept in {}", scenario.seed, cluster.keep_logs().display());
     }
     Ok(violations)
 }
--- a/xtask/src/soak/cluster.rs
+++ b/xtask/src/soak/cluster.rs
@@ -192,6 +192,7 @@
         self.instances.iter().map(state).collect::<Vec<_>>().join(", ")
     }
 
+    /// Polls until `done` holds and returns the elapsed time, or `None` after `limit`.
     pub(crate) fn wait(
         &self,
         limit: Duration,
@@ -221,7 +222,7 @@
             let _ = instance.kill_node();
         }
         if !self.keep {
-            // Remaining files lie in the system's temporary folder.
+            // Files that cannot be removed stay in the temporary directory of the system.
             let _ = fs::remove_dir_all(&self.folder);
         }
     }
--- a/xtask/src/soak/content.rs
+++ b/xtask/src/soak/content.rs
@@ -13,15 +13,17 @@
 pub(crate) const READS: &str = "read";
 pub(crate) const POSTS: &str = "post";
 
-/// Number of routes that each growth adds, in order.
+/// Number of routes that each growth adds, in the order of the growths.
 const GROWTH: [usize; 4] = [400, 800, 1_600, 1_600];
 
 /// All published versions.
 #[derive(Debug, Default)]
 pub(crate) struct Content {
-    /// When each valid version was acknowledged, and its revision.
+    /// When the platform acknowledged each valid version, and its revision.
     versions: Vec<(Instant, u64)>,
+    /// Number of growths so far.
     growths: usize,
+    /// Number of routes that they added.
     routes: usize,
 }
 
@@ -38,7 +40,7 @@
         self.write(platform, &documents);
     }
 
-    /// Adds many routes in one version and returns their number.
+    /// Adds many routes in one version and returns their number, which is 0 after the last growth.
     ///
     /// Until the first growth there are no routes, and calls are routed by the service's name.
     pub(crate) fn grow(&mut self, platform: &Platform) -> usize {
--- a/xtask/src/soak/evacuation.rs
+++ b/xtask/src/soak/evacuation.rs
@@ -18,8 +18,11 @@
 #[derive(Debug)]
 pub(crate) struct Orders {
     random: SmallRng,
+    /// When the next order is issued.
     due: Instant,
+    /// When each order in force is withdrawn, and its data centre.
     in_force: Vec<(Instant, &'static str)>,
+    /// Number of orders so far.
     pub(crate) count: usize,
 }
 
@@ -33,7 +36,7 @@
     pub(crate) fn step(&mut self, cluster: &mut Cluster) {
         let now = Instant::now();
         let (expired, rest) =
-            std::mem::take(&mut self.in_force).into_iter().partition(|o| o.0 <= now);
+            std::mem::take(&mut self.in_force).into_iter().partition(|(end, _)| *end <= now);
         self.in_force = rest;
         withdraw(cluster, expired);
         if now < self.due {
--- a/xtask/src/soak/instance.rs
+++ b/xtask/src/soak/instance.rs
@@ -24,8 +24,8 @@
     proxy::{Bandwidth, Proxy},
 };
 
-/// Service time of a request.
-const WORK: Duration = Duration::from_millis(15);
+/// Service time of a request at an upstream.
+const SERVICE_TIME: Duration = Duration::from_millis(15);
 
 /// Concurrency limit of an upstream.
 pub(crate) const SLOTS: usize = 8;
@@ -39,7 +39,7 @@
 /// Bandwidth of slow links, in Mbit/s.
 const SLOW_MBPS: u32 = 5;
 
-/// The last one of this many instances has a slow link.
+/// One in this many instances has a slow link.
 const SLOW_EVERY: usize = 4;
 
 /// Ports that all instances share, each at its own address.
@@ -81,13 +81,18 @@
     pub(crate) process: Option<Child>,
     /// Conditions of this instance.
     pub(crate) history: History,
+    /// Number of new identities of its upstream.
     identities: u32,
 }
 
 impl Instance {
     /// Starts the upstream and the proxies and writes the node's settings.
-    pub(crate) fn prepare(place: Placement, folder: &Path, handle: &Handle) -> io::Result<Self> {
-        let Placement { number, data_centre, ports, platform } = place;
+    pub(crate) fn prepare(
+        placement: Placement,
+        folder: &Path,
+        handle: &Handle,
+    ) -> io::Result<Self> {
+        let Placement { number, data_centre, ports, platform } = placement;
         let mbps = if number % SLOW_EVERY == SLOW_EVERY - 1 { SLOW_MBPS } else { 0 };
         let bandwidth: Bandwidth = (mbps > 0).then_some(mbps * 1_000_000 / 8);
         let (proxy_side, node_side) = (address(1, number, 0), address(2, number, 0));
@@ -270,7 +275,7 @@
 fn start_upstream(listen: SocketAddr, handle: &Handle) -> io::Result<Upstream> {
     let settings = upstream::Settings {
         listen,
-        service_time: WORK,
+        service_time: SERVICE_TIME,
         slots: SLOTS,
         ..upstream::Settings::default()
     };
--- a/xtask/src/soak/interruption.rs
+++ b/xtask/src/soak/interruption.rs
@@ -8,17 +8,17 @@
     observations::{Outcome, Record},
 };
 
-/// Age of a request at a planned stop from which on the node must have read all of it; a stopping node
-/// reads for another 300 ms.
+/// Minimum age of a request at the start of a planned stop for the node to have read all of it; a
+/// stopping node reads for another 300 ms.
 const READ_TIME: Duration = Duration::from_millis(100);
 
 /// Time for which a caller may still use a connection to a process that has exited.
 const STALE_CONNECTION: Duration = Duration::from_millis(250);
 
-/// Duration of a call from which on its deadline may have ended it.
+/// Calls of at least this duration may have ended at their deadline.
 const NEAR_DEADLINE: Duration = Duration::from_millis(1_000);
 
-/// Longest planned stop: the nodes' limit of 4 s and one second for the exit of the process.
+/// Time limit of a planned stop: the nodes' limit of 4 s and one second for the exit of the process.
 const MAX_STOP: Duration = Duration::from_secs(5);
 
 /// Conditions that may interrupt any call.
@@ -30,17 +30,17 @@
 
 const STOPS: [Condition; 2] = [Condition::Stopping, Condition::Stopped];
 
-/// Returns the invariant that the outcome of a call violates; the call ran at the nodes `places`.
+/// Returns the invariant that the outcome of a call violates; the call ran at the instances `ran_at`.
 pub(crate) fn violation(
     call: &Record,
-    places: &[usize],
+    ran_at: &[usize],
     cluster: &Cluster,
 ) -> Option<&'static str> {
     let history = &cluster.instances[call.node].history;
     match call.outcome {
-        Outcome::Refused => refused(call, history),
-        Outcome::Broken | Outcome::Cut => interrupted(call, history, places),
-        Outcome::Unknown => lost(call, places, cluster),
+        Outcome::Refused => check_refused(call, history),
+        Outcome::Broken | Outcome::Cut => check_interrupted(call, history, ran_at),
+        Outcome::Unknown => check_unknown(call, ran_at, cluster),
         Outcome::Answered
         | Outcome::Failed
         | Outcome::NotRun
@@ -49,14 +49,14 @@
     }
 }
 
-fn refused(call: &Record, history: &History) -> Option<&'static str> {
+fn check_refused(call: &Record, history: &History) -> Option<&'static str> {
     let (since, until) = (earliest_cause(call), call.finished);
     let excused = history.overlaps(&ABRUPT, since, until) || history.overlaps(&STOPS, since, until);
     (!excused).then_some("a running node accepts connections")
 }
 
 /// Checks a call whose connection closed before its answer was complete.
-fn interrupted(call: &Record, history: &History, places: &[usize]) -> Option<&'static str> {
+fn check_interrupted(call: &Record, history: &History, ran_at: &[usize]) -> Option<&'static str> {
     let (since, until) = (earliest_cause(call), call.finished);
     if history.overlaps(&ABRUPT, since, until) {
         return None;
@@ -65,21 +65,21 @@
         return Some("a running node answers every call");
     };
     let was_read =
-        call.started + READ_TIME < stop.from || !places.is_empty() || call.outcome == Outcome::Cut;
+        call.started + READ_TIME < stop.from || !ran_at.is_empty() || call.outcome == Outcome::Cut;
     was_read.then_some("a planned stop interrupts no call in flight")
 }
 
-/// Checks a call with an unknown outcome that ran at the nodes `places`.
-fn lost(call: &Record, places: &[usize], cluster: &Cluster) -> Option<&'static str> {
+/// Checks a call that ended with an unknown outcome and ran at the instances `ran_at`.
+fn check_unknown(call: &Record, ran_at: &[usize], cluster: &Cluster) -> Option<&'static str> {
     let (since, until) = (earliest_cause(call), call.finished);
-    let overlapped = |&place: &usize, conditions: &[Condition]| {
-        cluster.instances[place].history.overlaps(conditions, since, until)
+    let overlapped = |&number: &usize, conditions: &[Condition]| {
+        cluster.instances[number].history.overlaps(conditions, since, until)
     };
     let excused = until - call.started >= NEAR_DEADLINE
         || overlapped(&call.node, &ABRUPT)
-        || places.iter().any(|place| overlapped(place, &SERVING_DISRUPTIONS))
-        || places.iter().any(|&place| cluster.instances[place].crashed_between(since, until));
-    let stopped = places.iter().any(|place| overlapped(place, &STOPS));
+        || ran_at.iter().any(|number| overlapped(number, &SERVING_DISRUPTIONS))
+        || ran_at.iter().any(|&number| cluster.instances[number].crashed_between(since, until));
+    let stopped = ran_at.iter().any(|number| overlapped(number, &STOPS));
     (stopped && !excused).then_some("a planned stop interrupts no forwarded call in flight")
 }
 
--- a/xtask/src/soak/invariants.rs
+++ b/xtask/src/soak/invariants.rs
@@ -15,7 +15,7 @@
     poison,
 };
 
-/// Nodes queried in one check, which bounds the time of a check in large fleets.
+/// Limit of the nodes queried in one check, which bounds its time in large fleets.
 const MAX_NODES_PER_CHECK: usize = 20;
 
 /// Time limit for a version to come into force at an undisturbed node.
@@ -32,8 +32,8 @@
     Condition::Platform,
 ];
 
-/// Checks that the revision of an undisturbed node never decreases within an incarnation and is the
-/// newest.
+/// Checks that the revision of a node never decreases within an incarnation, and that an undisturbed
+/// node has the newest one in time.
 pub(crate) fn check_nodes(
     cluster: &mut Cluster,
     observations: &Observations,
@@ -82,13 +82,13 @@
         cluster.instances.iter().map(|instance| instance.runs_by_work()).collect();
     let mut violations = observations.violations();
     for call in observations.calls() {
-        let places: Vec<usize> = (0..runs_by_work.len())
+        let ran_at: Vec<usize> = (0..runs_by_work.len())
             .filter(|&number| runs_by_work[number].contains_key(&call.work))
             .collect();
-        let ran = places.iter().map(|&number| runs_by_work[number][&call.work]).sum();
-        let violation = outcome_violation(call.kind, call.outcome, ran)
-            .or_else(|| interruption::violation(&call, &places, cluster));
-        violations.extend(violation.map(|violation| report(&call, ran, &places, violation)));
+        let ran = ran_at.iter().map(|&number| runs_by_work[number][&call.work]).sum();
+        let violation = check_outcome(call.kind, call.outcome, ran)
+            .or_else(|| interruption::violation(&call, &ran_at, cluster));
+        violations.extend(violation.map(|violation| describe(&call, ran, &ran_at, violation)));
     }
     violations.extend(interruption::late_stops(cluster));
     violations.extend(leaving::violations(cluster));
@@ -96,15 +96,15 @@
     violations
 }
 
-fn report(call: &Record, ran: u32, places: &[usize], violation: &str) -> String {
+fn describe(call: &Record, ran: u32, ran_at: &[usize], violation: &str) -> String {
     let Record { node, work, kind, outcome, .. } = call;
     let ms = (call.finished - call.started).as_millis();
     format!(
-        "{work}: {violation}; {kind:?} at node {node} ended as {outcome:?} after {ms} ms and ran {ran} times, at {places:?}"
+        "{work}: {violation}; {kind:?} at node {node} ended as {outcome:?} after {ms} ms and ran {ran} times, at {ran_at:?}"
     )
 }
 
-fn outcome_violation(kind: Kind, outcome: Outcome, ran: u32) -> Option<&'static str> {
+fn check_outcome(kind: Kind, outcome: Outcome, ran: u32) -> Option<&'static str> {
     match (kind, outcome) {
         (Kind::Post, _) if ran > 1 => Some("a call that is not idempotent runs at most once"),
         (_, Outcome::Quarantined) if ran == 0 => {
--- a/xtask/src/soak/leaving.rs
+++ b/xtask/src/soak/leaving.rs
@@ -24,8 +24,8 @@
             let late = starts.iter().filter(|(at, _)| is_late(*at, leave, instance, cluster));
             violations.extend(late.map(|(at, work)| {
                 let ms = (*at - leave.from).as_millis();
-                let why = leave.condition;
-                format!("{work}: an upstream gets no new calls once it is {why:?}; the call started at instance {number} after {ms} ms")
+                let condition = leave.condition;
+                format!("{work}: an upstream gets no new calls once it is {condition:?}; the call started at instance {number} after {ms} ms")
             }));
         }
     }
@@ -34,8 +34,8 @@
 
 /// Tells whether a call came too late without an excuse.
 ///
-/// Only the upstream's own node must know of the removal, since it refuses the calls of other nodes. It
-/// learns of it by gossip also without a connection to the platform.
+/// Only the state of the upstream's own node matters, since it refuses the calls of other nodes. It learns
+/// of the removal by gossip even if it cannot reach the platform.
 fn is_late(at: Instant, leave: Span, instance: &Instance, cluster: &Cluster) -> bool {
     if at <= leave.from + GRACE || leave.until.is_some_and(|until| at >= until) {
         return false;
--- a/xtask/src/soak/poison.rs
+++ b/xtask/src/soak/poison.rs
@@ -35,7 +35,7 @@
 /// Crashes after which the nodes must quarantine the request.
 const QUARANTINE_CRASHES: usize = 3;
 
-/// Runs that are tolerated after the quarantine is due.
+/// Limit of the runs of a request after its quarantine is due.
 const MAX_LATE_RUNS: usize = 3;
 
 /// Time limit for crash reports to reach an undisturbed node.
@@ -50,10 +50,10 @@
     Condition::Crashed,
 ];
 
-/// Starts callers that send poison requests to random nodes after the delay `after`.
+/// Starts callers that send poison requests to random nodes after `delay`.
 pub(crate) fn start(
     cluster: &Cluster,
-    after: Duration,
+    delay: Duration,
     seed: u64,
     running: &Arc<AtomicBool>,
 ) -> Vec<JoinHandle<()>> {
@@ -64,7 +64,7 @@
         let random = SmallRng::seed_from_u64(seed + number as u64);
         let caller = send_poison(service, nodes.clone(), random, running.clone());
         cluster.runtime.handle().spawn(async move {
-            sleep(after).await;
+            sleep(delay).await;
             caller.await;
         })
     };
--- a/xtask/src/soak/port.rs
+++ b/xtask/src/soak/port.rs
@@ -3,10 +3,10 @@
 use rand::{RngExt, rngs::SmallRng};
 use std::{io, net::TcpListener, ops::Range};
 
-/// Ports below the range from which the system assigns ports to sockets that name none.
+/// Ports below the ephemeral range of the operating system.
 const SHARED_PORTS: Range<u16> = 20_000..30_000;
 
-/// Limit of the ports of [`SHARED_PORTS`] that are tried.
+/// Limit of the attempts to find a free port in [`SHARED_PORTS`].
 const MAX_TRIES: usize = 100;
 
 /// Returns a port assigned by the system that is currently free on every loopback address.
@@ -16,8 +16,8 @@
 
 /// Returns a port at which every node can listen at its own address.
 ///
-/// It lies outside the range of the system, since an upstream listens at the address of its node at a
-/// port that the system assigns, which must differ from the shared one.
+/// It lies outside the ephemeral range: an upstream listens at an ephemeral port of the same address, which
+/// must differ from this one.
 pub(crate) fn shared(random: &mut SmallRng) -> io::Result<u16> {
     let mut last = Ok(0);
     for _ in 0..MAX_TRIES {
--- a/xtask/src/tools.rs
+++ b/xtask/src/tools.rs
@@ -42,7 +42,7 @@
     if status.success() {
         return Ok(());
     }
-    Err(Failure::Task(format!("cargo {} failed", arguments.join(" "))))
+    Err(Failure::Task(format!("cargo {} failed: {status}", arguments.join(" "))))
 }
 
 /// Builds the release programs and returns the directory that contains them.
@@ -53,7 +53,7 @@
     Ok(target.join("release"))
 }
 
-/// Returns the value, or a failure with `reason` if there is none.
+/// Returns the value, or [`Failure::Task`] with `reason` if there is none.
 pub(crate) fn require<T>(value: Option<T>, reason: &str) -> Result<T, Failure> {
     value.ok_or_else(|| Failure::Task(reason.to_owned()))
 }
