--- a/crates/fleet/src/directory.rs
+++ b/crates/fleet/src/directory.rs
@@ -317,7 +317,7 @@
 
     fn put(&mut self, entry: Entry, now: Time) -> Option<(Entry, Change)> {
         let removed = self.tombstones.get(&entry.id).map(|t| t.revision);
-        let pending = self.pending.get(&entry.id).map(|d| d.revision);
+        let pending = self.pending.get(&entry.id).map(|pending| pending.revision);
         let known = self.entries.get(&entry.id);
         let latest = removed.max(pending).max(known.map(|e| e.revision));
         if latest >= Some(entry.revision) {
--- a/crates/fleet/src/listed/partition.rs
+++ b/crates/fleet/src/listed/partition.rs
@@ -11,7 +11,7 @@
 const CONTACT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Maximum age of the last contact within the local data centre for a verdict on others; a node without it
-/// is cut off itself, or its process was stalled.
+/// is isolated itself, or its process was stalled.
 const MAX_OWN_CONTACT_AGE: Duration = Duration::from_millis(600);
 
 /// Minimum number of other nodes of the local data centre per remote one for a verdict; with fewer, random
--- a/crates/fleet/src/listed/peers.rs
+++ b/crates/fleet/src/listed/peers.rs
@@ -329,8 +329,9 @@
         let own = (self.link_mbps, source::weight(self.own), self.own);
         let before = |address: &SocketAddr, peer: &Peer| {
             let Some(digest) = &peer.digest else { return false };
-            let able = digest.data_centre == self.data_centre && !digest.failing;
-            able && (digest.link_mbps, peer.weight, *address) > own
+            let can_read = digest.data_centre == self.data_centre && !digest.failing;
+            can_read
+                && (digest.link_mbps, peer.weight, *address) > own
                 && self.liveness(*address, now) == Liveness::Alive
         };
         self.peers.iter().filter(|(address, peer)| before(address, peer)).count()
--- a/crates/fleet/src/listed/reports.rs
+++ b/crates/fleet/src/listed/reports.rs
@@ -28,12 +28,12 @@
     /// digest, and this node may crash too.
     fn send_urgent_reports(&mut self, now: Now) {
         let targets = self.peers.broadcast_targets(FAR_FANOUT, &mut self.random);
-        let found = self.quarantine.urgent_reports(now.time);
-        self.send_reports(targets, found, now);
+        let batches = self.quarantine.urgent_reports(now.time);
+        self.send_reports(targets, batches, now);
     }
 
-    fn send_reports(&mut self, targets: Vec<SocketAddr>, groups: Vec<Vec<Report>>, now: Now) {
-        for reports in groups {
+    fn send_reports(&mut self, targets: Vec<SocketAddr>, batches: Vec<Vec<Report>>, now: Now) {
+        for reports in batches {
             let digest = Digest { reports, ..self.digest(now) };
             self.effects.push(Effect::Gossip(targets.clone(), digest));
         }
@@ -50,7 +50,7 @@
     /// Sends the quarantined requests to a node that has just started; its first request may be one of
     /// them.
     pub(super) fn send_reports_to_joiner(&mut self, node: SocketAddr, now: Now) {
-        let held = self.quarantine.joiner_reports(now.time);
-        self.send_reports(vec![node], held, now);
+        let batches = self.quarantine.joiner_reports(now.time);
+        self.send_reports(vec![node], batches, now);
     }
 }
--- a/crates/fleet/src/quarantine/case.rs
+++ b/crates/fleet/src/quarantine/case.rs
@@ -43,8 +43,8 @@
     /// again.
     pub(super) fn is_over(&self, now: Time) -> bool {
         let last = self.answered.map_or(self.last_crash, |answered| answered.max(self.last_crash));
-        let rounds = if self.crashes.len() < CRASH_THRESHOLD { 1 } else { 2 };
-        now >= last + self.period() * rounds
+        let periods = if self.crashes.len() < CRASH_THRESHOLD { 1 } else { 2 };
+        now >= last + self.period() * periods
     }
 
     /// Returns whether an answer at `answered` exonerates the request from a crash at `crashed_at`.
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -148,7 +148,7 @@
         deadline: Time,
         queue_limit: usize,
     ) -> Decision {
-        // Calls that wait while a slot is free wait for a token and keep their place.
+        // If calls wait although a slot is free, they wait for a token; a new call must not overtake them.
         if self.busy < self.slots && self.queue.is_empty() && self.take_token(now) {
             self.busy += 1;
             self.track_nested(ticket, rank.class);
@@ -239,11 +239,11 @@
 
     /// Returns the waiting calls for which slots and tokens are available; each holds a slot now.
     pub fn grant_waiting(&mut self, now: Time) -> Vec<Ticket> {
-        std::iter::from_fn(|| self.release_one(now)).collect()
+        std::iter::from_fn(|| self.grant_next(now)).collect()
     }
 
     /// Gives the next waiting call a slot and a token, if both are available.
-    fn release_one(&mut self, now: Time) -> Option<Ticket> {
+    fn grant_next(&mut self, now: Time) -> Option<Ticket> {
         if self.busy >= self.slots {
             return None;
         }
@@ -292,7 +292,7 @@
             None => self.return_token(),
         }
         self.busy = self.busy.saturating_sub(1);
-        self.release_one(now)
+        self.grant_next(now)
     }
 
     /// Removes a call from the queue; returns whether it was waiting.
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -31,7 +31,7 @@
 /// Longest ejection time.
 const MAX_EJECTION: Duration = Duration::from_secs(10);
 
-/// Time after an ejection in which an upstream without an answer gets no non-idempotent calls.
+/// Time after an ejection in which an upstream gets no non-idempotent calls until it answers a call.
 const PROBATION: Duration = Duration::from_secs(30);
 
 /// Weight of a new upstream at the beginning of its slow start.
@@ -190,8 +190,8 @@
 
     /// Records the load that came with an answer, after [`end`](Record::end) of its call.
     pub fn update_load(&mut self, load: Load, now: Time) {
-        let held = load.busy + load.waiting;
-        self.other_calls = held.saturating_sub(self.in_flight) as f64;
+        let calls = load.busy + load.waiting;
+        self.other_calls = calls.saturating_sub(self.in_flight) as f64;
         self.bodies = load.bodies as f64;
         self.load_at = now;
     }
--- a/crates/policy/src/outcome.rs
+++ b/crates/policy/src/outcome.rs
@@ -171,7 +171,7 @@
 impl Cause {
     /// Returns the default `Retry-After` of this cause.
     ///
-    /// It is short if another upstream or a moment can resolve the cause, and longer if an operator
+    /// It is short if another upstream or a short wait resolves the cause, and longer if an operator
     /// or the platform has to.
     pub fn retry_after(self) -> Duration {
         match self {
@@ -197,6 +197,7 @@
     }
 }
 
+// Default `Retry-After` times; see `Cause::retry_after`.
 const SHORT_DELAY: Duration = Duration::from_millis(100);
 const MEDIUM_DELAY: Duration = Duration::from_millis(500);
 const LONG_DELAY: Duration = Duration::from_secs(2);
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -112,9 +112,9 @@
     let mut best: Option<(f64, usize)> = None;
     for index in available {
         let jitter = random.random_range(0.0..MAX_JITTER);
-        let work = expected_work(&candidates[index], now) + jitter;
-        if best.is_none_or(|(lowest, _)| work < lowest) {
-            best = Some((work, index));
+        let cost = total_cost(&candidates[index], now) + jitter;
+        if best.is_none_or(|(lowest, _)| cost < lowest) {
+            best = Some((cost, index));
         }
     }
     let chosen = best.map(|(_, index)| index);
@@ -142,10 +142,10 @@
 }
 
 /// Returns the cost of an upstream, in shares of its slots.
-fn expected_work(candidate: &Candidate<'_>, now: Time) -> f64 {
+fn total_cost(candidate: &Candidate<'_>, now: Time) -> f64 {
     let record = candidate.record;
     let slots = usable_slots(candidate, now);
-    let held = record.expected_load(now) + 1.0;
+    let calls = record.expected_load(now) + 1.0;
     let slowness = record.slowness(now);
     let cold = if candidate.cold == Cold::No { 1.0 } else { COLD_FACTOR };
     let failure_share = record.failure_share(now);
@@ -161,5 +161,5 @@
         Locality::DataCentre => queued_bodies + bytes * DATA_CENTRE_BYTE_COST,
         Locality::Remote => REMOTE_COST + queued_bodies + remote_bytes_cost(candidate),
     };
-    held / slots * slowness * cold / success_share + failure_share * FAILURE_COST + locality_cost
+    calls / slots * slowness * cold / success_share + failure_share * FAILURE_COST + locality_cost
 }
--- a/crates/policy/src/urgency.rs
+++ b/crates/policy/src/urgency.rs
@@ -86,7 +86,7 @@
     /// # use policy::{client_retry::Attempt, urgency::Timing};
     /// # use std::time::Duration;
     /// # let ms = Duration::from_millis;
-    /// let again = Timing {
+    /// let retry = Timing {
     ///     received: Time::from_millis(1_000),
     ///     deadline: Time::from_millis(2_000),
     ///     attempt: Attempt::Retry,
@@ -94,16 +94,16 @@
     ///     objective: ms(400),
     ///     expected: ms(80),
     /// };
-    /// assert_eq!(again.due(), Time::from_millis(1_100));
+    /// assert_eq!(retry.due(), Time::from_millis(1_100));
     /// ```
     pub fn due(&self) -> Time {
         self.received + self.objective.saturating_sub(self.elapsed)
     }
 
-    /// Returns the timing at `now` of a call that was held since its arrival.
+    /// Returns the timing at `now` of a call that has waited since its arrival.
     pub fn at(self, now: Time) -> Timing {
-        let held = now.since(self.received);
-        Timing { received: self.received + held, elapsed: self.elapsed + held, ..self }
+        let waited = now.since(self.received);
+        Timing { received: self.received + waited, elapsed: self.elapsed + waited, ..self }
     }
 
     /// Returns how long the start can be delayed without missing the objective.
--- a/crates/traffic/src/proxy/warmup.rs
+++ b/crates/traffic/src/proxy/warmup.rs
@@ -40,7 +40,7 @@
 }
 
 /// Returns until when an upstream is cold. After an evacuation ends, every upstream of the data centre
-/// counts as cold, because reports of those that cooled meanwhile arrive too late.
+/// counts as cold, because the reports of those that became cold during it arrive too late.
 fn cold_until(upstream: &Upstream, warm_up: WarmUp) -> Time {
     let after_evacuation = upstream.readmitted_at.map(|at| at + warm_up.length);
     upstream.cold_until.max(after_evacuation.unwrap_or_default())
--- a/crates/traffic/src/upstream.rs
+++ b/crates/traffic/src/upstream.rs
@@ -102,8 +102,8 @@
     let answer = result?;
     let rejected_early = !answer.head.status().is_success() && !offer.payload.body.is_empty();
     if !rejected_early {
-        // The upstream may not have read the whole body; it would take the next request on this
-        // connection for the rest.
+        // After an early rejection, the upstream may still expect the rest of the body and would read
+        // the next request on this connection as part of it.
         proxy.pool.put(proxy.settings.upstream, connection);
     }
     if let Some(cause) = refusal_cause(proxy, &answer.head) {
--- a/crates/traffic/src/upstream/crash.rs
+++ b/crates/traffic/src/upstream/crash.rs
@@ -18,7 +18,7 @@
 /// Delay before each probe connection; the calls of a crashed process all break within it.
 const PROBE_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Refused connections that confirm a crash; a full listener may refuse one.
+/// Refused connections that confirm a crash; a full accept queue may refuse one.
 const REFUSALS_TO_CONFIRM: usize = 2;
 
 /// Limit on probe connections; on a busy instance some may time out.
