--- a/crates/fleet/src/catchup.rs
+++ b/crates/fleet/src/catchup.rs
@@ -16,7 +16,7 @@
     message::{Bundle, Pull},
 };
 
-/// Document bytes per chunk; 0.3 s on a 5 Mbit/s link before compression.
+/// Document bytes per chunk, before compression; keeps a pull short on a slow link.
 const CHUNK_BYTES: usize = 128 << 10;
 
 /// Smallest chunk, in document bytes: about one bucket, which is not split.
--- a/crates/policy/src/transfer.rs
+++ b/crates/policy/src/transfer.rs
@@ -21,7 +21,7 @@
 /// Divides the remaining time to give the longest wait for a slot after a transfer.
 const TRANSFERRED_DIVISOR: u32 = 4;
 
-/// Link speed per concurrent transfer, in Mbit/s; 64 KB take 20 ms at this speed.
+/// Link speed per concurrent transfer, in Mbit/s.
 const MBPS_PER_BODY: u32 = 25;
 
 /// Upper bound of concurrent transfers on any link.
--- a/crates/policy/tests/suspects.rs
+++ b/crates/policy/tests/suspects.rs
@@ -1,4 +1,4 @@
-//! Suspects of a crash of the local upstream.
+//! Suspects of a crash of the colocated upstream.
 
 use model::{
     request::{Fingerprint, Suspect},
